--- a/include/peatbend/balancer.h
+++ b/include/peatbend/balancer.h
@@ -206,6 +206,9 @@
   RequestId id{};
   ServerId server;
   Duration give_up_after{};
+  // From now: the attempt's first byte must not be written later than this. One that could not begin by then
+  // is given up unsent, and its outcome says that it never ran.
+  Duration begin_within = Duration::max();
 };
 struct Refuse {  // final; tells the client that a retry is harmless
   RequestId id{};
