--- a/src/module/brain.h
+++ b/src/module/brain.h
@@ -140,6 +140,7 @@
   void SubscribeIfDue() {
     if (now_ < subscribe_at_) return;
     out_->emplace_back(Subscribe{});
+    asked_at_ = now_;
     subscribe_at_ = set_.ask_every > Duration::zero() ? now_ + set_.ask_every : TimePoint::max();
   }
 
@@ -294,7 +295,7 @@
   std::map<std::string, int, std::less<>> by_id_;  // sorted: the table's order
   int origin_ = -1, asked_ = -1;                   // asked_: its trial is whatever comes next that may be
   std::vector<std::uint16_t> table_;               // of the ready servers
-  bool stale_ = true;
+  bool stale_ = true, lost_ = false;               // the table; discovery, as last heard of
 
   std::unordered_map<RequestId, Request> requests_;           // looked up, never walked
   std::map<Key, std::vector<RequestId>> fetches_;             // keys being fetched, and who waits for them
@@ -312,8 +313,8 @@
   using Due = std::pair<TimePoint, RequestId>;
   std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
   std::set<std::pair<TimePoint, int>> paced_;  // servers to pump then
-  TimePoint armed_ = TimePoint::max(), subscribe_at_ = TimePoint::max();
-  Duration resubscribe_in_{};
+  TimePoint armed_ = TimePoint::max(), subscribe_at_ = TimePoint::max(), asked_at_{};
+  Duration pause_{};  // between calls of discovery that fail
 };
 
 }  // namespace peatbend
--- a/src/module/membership.cpp
+++ b/src/module/membership.cpp
@@ -1,12 +1,13 @@
 // Membership: what discovery tells of the servers, and being subscribed to it.
+#include <utility>
+
 #include "module/brain.h"
 
 namespace peatbend {
 
-constexpr Duration kAskApart =
-    std::chrono::milliseconds(4);  // a proxy, between first calls of discovery; then:
-constexpr Duration kResubscribeFirst = std::chrono::milliseconds(400),
-                   kResubscribeMost = std::chrono::seconds(6);
+// First calls of discovery: between those of two proxies, and over all of them; then:
+constexpr Duration kAskApart = std::chrono::milliseconds(4), kAskWithin = std::chrono::seconds(2);
+constexpr Duration kPauseFirst = std::chrono::milliseconds(400), kPauseMost = std::chrono::milliseconds(1500);
 
 void Balancer::Brain::On(const MembershipEvent& event) {
   if (set_.must_subscribe) KeepSubscribed(event.scope);
@@ -16,10 +17,9 @@
   }
   for (const ServerEntry& entry : event.entries) Learn(entry);
   stale_ |= event.scope != Scope::kDelta || !event.entries.empty();  // rebuilt when a request needs it
-  for (std::size_t i = 0; i < servers_.size(); ++i) {  // held for a server that is out now
-    while (servers_[i].listed != Listed::kReady && !servers_[i].queue.empty()) {
+  for (std::size_t i = 0; i < servers_.size(); ++i) {                // held for a server that is out now
+    while (servers_[i].listed != Listed::kReady && !servers_[i].queue.empty())
       Requeue(requests_.at(std::get<3>(*servers_[i].queue.begin())));
-    }
   }
   Forget();
 }
@@ -55,21 +55,21 @@
   server.weight = entry.weight;
 }
 
-// Discovery that must be asked: subscribed to at the start, all proxies spread over a time, and again
-// after every failure, with jittered exponential backoff.
+// Discovery that must be asked: subscribed to at the start, and again after every failure, with jittered
+// exponential backoff. It counts from the call, and begins anew once a subscription has stood.
 void Balancer::Brain::KeepSubscribed(Scope scope) {
   if (scope == Scope::kFailed) {
-    if (resubscribe_in_ == Duration::zero()) Say("discovery lost, subscribing again");
+    if (!std::exchange(lost_, true)) Say("discovery lost, subscribing again");
     // Jittered it stays within the time for which the list held counts, from discovery's return on.
-    bool told = set_.ask_every > 2 * kResubscribeFirst;
-    Duration most = told ? std::min(kResubscribeMost, set_.ask_every / 2) : kResubscribeMost;
-    resubscribe_in_ = std::clamp(resubscribe_in_ * 2, kResubscribeFirst, most);
-    subscribe_at_ = now_ + Scale(resubscribe_in_, 0.5 + Unit(Random()));
+    Duration counts = set_.ask_every > Duration::zero() ? set_.ask_every : Duration::max();
+    Duration most = std::clamp(counts / 2, kPauseFirst, kPauseMost);
+    bool stood = now_ - asked_at_ > 2 * kPauseMost;
+    pause_ = stood ? kPauseFirst : std::clamp(pause_ * 2, kPauseFirst, most);
+    subscribe_at_ = now_ + Scale(std::max(kPauseFirst, asked_at_ + pause_ - now_), 0.5 + Unit(Random()));
   } else if (scope == Scope::kCached) {
-    subscribe_at_ = now_ + Scale(kAskApart * set_.proxies, Unit(Random()));
+    subscribe_at_ = now_ + Scale(std::min(kAskApart * set_.proxies, kAskWithin), Unit(Random()));
   } else {
-    if (resubscribe_in_ != Duration::zero()) Say("discovery is back");
-    resubscribe_in_ = Duration::zero();
+    if (std::exchange(lost_, false)) Say("discovery is back");
     subscribe_at_ = TimePoint::max();
   }
 }
