--- a/src/base/tuning.h
+++ b/src/base/tuning.h
@@ -46,7 +46,7 @@
     bool operator==(const Members&) const = default;
   } members;
   struct PoolWatch {
-    Milliseconds silence{3500};  // of a watch; then it is made anew
+    Milliseconds silence{3000};  // of a watch; then it is made anew
     std::int64_t line_kb = 4096;
     bool operator==(const PoolWatch&) const = default;
   } pool;
--- a/src/pool/pool.cpp
+++ b/src/pool/pool.cpp
@@ -7,11 +7,15 @@
 
 namespace peatbend::net {
 namespace {
-// A list under way: so many bytes of it are a sign of life, and so many silences are all that it may take.
+// For a connection to come up. A lost first packet is sent again after 1 s; later ones come too late.
+constexpr std::chrono::milliseconds kDialTimeout{1200};
+// A list under way: so many bytes of it are a sign of life.
 constexpr std::size_t kPiece = 16 * 1024;
-constexpr int kListSilences = 4;
 // What the reader may hold beyond a list: other lists and heartbeats that came in the same piece.
 constexpr std::size_t kBesides = 64 * 1024;
+
+// All that a list may take. Beyond that another call is more likely to bring it in time.
+Milliseconds ListTimeout(Milliseconds silence) { return silence + silence / 4; }
 }  // namespace
 
 Pool::Pool(event_base* base, const std::string& address, const Settings& settings,
@@ -24,6 +28,7 @@
       log_(log),
       counters_(counters),
       on_news_(std::move(on_news)),
+      dial_(base, [this] { Failed("its connection does not come up"); }),
       silence_(base, [this] { Failed("silent"); }),
       late_(base, [this] { Failed("a list that does not end"); }) {
   ReadAddress(address, to_, to_size_);
@@ -50,6 +55,7 @@
   stands_ = false;
   late_.Stop();
   Alive(0);
+  dial_.Set(kDialTimeout);
   socket_.reset(bufferevent_socket_new(base_, -1, BEV_OPT_CLOSE_ON_FREE));
   if (!socket_) return Failed("no socket");
   bufferevent_setcb(socket_.get(), OnRead, nullptr, OnEvent, this);
@@ -82,7 +88,6 @@
       case ListFrames::Found::kNothing:
         break;
       case ListFrames::Found::kHeartbeat:
-        Alive(0);
         Heartbeat();
         break;
       case ListFrames::Found::kList:
@@ -98,7 +103,7 @@
   evbuffer_drain(body, evbuffer_get_length(body));
   if (status == http1::ResponseReader::Status::kDone) return Failed("watch ended");
   std::size_t begun = frames_->begun();
-  if (begun > 0 && !late_.set()) late_.Set(kListSilences * tuning_.silence);
+  if (begun > 0 && !late_.set()) late_.Set(ListTimeout(tuning_.silence));
   if (begun >= seen_ + kPiece) Alive(begun);
 }
 
@@ -110,10 +115,11 @@
 }
 
 // Where nothing has changed, heartbeats are all that comes: the watch stands. Not if the whole list was asked
-// for; it is still to come.
+// for: it is still to come, and heartbeats before it are no sign of life.
 void Pool::Heartbeat() {
-  if (index_ == 0 || std::exchange(stands_, true)) return;
-  on_news_(Scope::kDelta, {});
+  if (index_ == 0 && !stands_) return;
+  Alive(0);
+  if (!std::exchange(stands_, true)) on_news_(Scope::kDelta, {});
 }
 
 // False if the list ended the watch.
@@ -126,16 +132,19 @@
     return false;
   }
   stands_ = true;
-  index_ = list.index;
+  bool anew = !list.snapshot && list.index < index_;  // versions only grow: discovery has lost its own
+  index_ = anew ? 0 : list.index;
   Hold(list);
   ++counters_.pool_changes;
   on_news_(list.snapshot ? Scope::kFull : Scope::kDelta, std::move(list.entries));
-  return true;
+  if (anew) Failed("changes up to a lower version than held: the whole list is asked for");
+  return !anew;
 }
 
 void Pool::Failed(std::string_view why) {
   ++counters_.watch_failures;
   log_.Line("watch failed", why);
+  dial_.Stop();
   silence_.Stop();
   late_.Stop();
   socket_.reset();
--- a/src/pool/pool.h
+++ b/src/pool/pool.h
@@ -1,6 +1,7 @@
 // The pool: discovery's list and the watch on its changes. Opens a watch when told to and says how it went;
-// when to try again is the module's to decide. A watch that is silent for `PoolWatch::silence` has failed, at
-// whatever point it fell silent: not connected, without an answer, within a list.
+// when to try again is the module's to decide. Each watch that fails is told as such: one that is silent for
+// `PoolWatch::silence`, at whatever point it fell silent (without an answer, within a list), and sooner one
+// whose connection does not come up.
 #pragma once
 
 #include <functional>
@@ -35,13 +36,18 @@
 
   // Opens a watch on what changed after the list held; ends one that is open.
   void Watch();
+  // Opens a watch unless there is one already, whose end will be told: it would lose its place at discovery.
+  void KeepWatching() {
+    if (!socket_) Watch();
+  }
   // Watches there from now on. The list held stays until the new discovery has told its own.
   void MoveTo(const std::string& address);
 
  private:
   static void OnRead(bufferevent*, void* self) { static_cast<Pool*>(self)->Read(); }
   static void OnEvent(bufferevent*, short what, void* self) {
-    if ((what & BEV_EVENT_CONNECTED) == 0) static_cast<Pool*>(self)->Failed("connection ended or refused");
+    auto* pool = static_cast<Pool*>(self);
+    (what & BEV_EVENT_CONNECTED) != 0 ? pool->dial_.Stop() : pool->Failed("connection ended or refused");
   }
   void Read();
   void Alive(std::size_t seen);
@@ -61,7 +67,7 @@
   Log& log_;
   Counters& counters_;
   OnNews on_news_;
-  Timer silence_, late_;
+  Timer dial_, silence_, late_;
   std::optional<http1::ResponseReader> reader_;
   std::optional<ListFrames> frames_;
   bool stands_ = false;   // the watch, as something has come on it
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -64,7 +64,7 @@
       predecessor_memory_(inherited ? inherited->memory : 0),
       connections_(base, running_.settings, running_.tuning.members, sockets_, clock_, log_, counters_),
       decision_(
-          base, running_.settings, config.seed, connections_, [this] { pool_.Watch(); }, clock_, log_,
+          base, running_.settings, config.seed, connections_, [this] { pool_.KeepWatching(); }, clock_, log_,
           counters_),
       pool_(base, config.discovery, running_.settings, running_.tuning.pool, Known(config, inherited, log_),
             log_, counters_,
--- a/tests/net/pool_test.cpp
+++ b/tests/net/pool_test.cpp
@@ -1,101 +1,19 @@
 // The watch on discovery, against a scripted one: what counts as a sign of life, lists in any layout and in
 // any pieces, and what is asked for after a break.
-#include "pool/pool.h"
-
 #include <random>
 #include <string>
 #include <vector>
 
-#include "net/stage.h"
+#include "net/watch_stage.h"
 #include "pool/list_frames.h"
 
 namespace peatbend::net::test {
 namespace {
 
 using Found = ListFrames::Found;
-const char kHead[] = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-
-std::string Piece(const std::string& text) {
-  char size[16];
-  std::snprintf(size, sizeof size, "%zx\r\n", text.size());
-  return size + text + "\r\n";
-}
-
-std::string List(int index, bool snapshot, const std::vector<std::string>& names, int indent = -1) {
-  nlohmann::json list = {{"index", index}, {"snapshot", snapshot}, {"endpoints", nlohmann::json::array()}};
-  for (const std::string& name : names)
-    list["endpoints"].push_back(nlohmann::json::parse(Member(name, 6379)));
-  return list.dump(indent);
-}
-std::string Gone(int index, const std::string& name) {
-  return R"({"index":)" + std::to_string(index) + R"(,"endpoints":[{"name":")" + name +
-         R"(","status":"DELETED"}]})";
-}
-
-class Watching {
- public:
-  explicit Watching(int silence_ms = 20000, std::int64_t index = 7, std::int64_t line_kb = 4096)
-      : discovery(base.get()), tuning_{Milliseconds(silence_ms), line_kb} {
-    known_.index = index;
-    Open(discovery.port);
-  }
-  void Open(int port) {
-    pool.emplace(base.get(), "127.0.0.1:" + std::to_string(port), settings_, tuning_, known_, log_, counters,
-                 [this](Scope scope, std::vector<PoolEntry> entries) {
-                   news.push_back(scope);
-                   told.push_back(entries.size());
-                 });
-    pool->Watch();
-  }
-  void Until(const std::function<bool()>& holds) {
-    auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(20);
-    while (!holds()) {
-      REQUIRE(std::chrono::steady_clock::now() < limit);
-      timeval turn{0, 2000};
-      event_base_loopexit(base.get(), &turn);
-      event_base_dispatch(base.get());
-    }
-  }
-  // Waits for the watch's request number `count`, and answers with this.
-  End& Answer(const std::string& text, std::size_t count = 1) {
-    Until([&] { return discovery.Count("\r\n\r\n") == count; });
-    discovery.ends.back().Say(text);
-    return discovery.ends.back();
-  }
-  // Says each of them so long after the one before, then the last again and again.
-  void Drip(End& end, std::vector<std::string> texts, int every_ms) {
-    dripping_.emplace(base.get(), [this, &end, texts, every_ms, at = std::size_t{0}]() mutable {
-      if (!end.closed) end.Say(texts[std::min(drips++, texts.size() - 1)]);
-      dripping_->Set(Milliseconds(every_ms));
-    });
-    dripping_->SetNow();
-  }
-  bool Failed() const { return news == std::vector<Scope>{Scope::kFailed}; }
-  std::string Names() const {
-    std::string names;
-    for (const auto& [name, entry] : pool->held()) names += name + " ";
-    return names;
-  }
-
-  EventBasePtr base{event_base_new()};
-  Peer discovery;
-  std::vector<Scope> news;
-  std::vector<std::size_t> told;  // entries of each
-  Counters counters;
-  std::optional<Pool> pool;
-  std::size_t drips = 0;
-
- private:
-  Settings settings_;
-  Tuning::PoolWatch tuning_;
-  PoolList known_;
-  Clock clock_;
-  Log log_{"test", {}, clock_};
-  std::optional<Timer> dripping_;
-};
 
 TEST_CASE("watch: silence is a failure, wherever it falls") {
-  for (const std::string said : {"", "HTTP/1.1 200 OK\r\nTransfer-", kHead,
+  for (const std::string said : {"", "HTTP/1.1 200 OK\r\nTransfer-", kWatchHead,
                                  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n40\r\n{\"ind"}) {
     CAPTURE(said);
     Watching watch(150);
@@ -105,7 +23,7 @@
     CHECK(watch.pool->index() == 7);
   }
   Watching after_list(150);
-  after_list.Answer(kHead + Piece(List(9, true, {"a"}) + "\n") + Piece("\n"));
+  after_list.Answer(kWatchHead + Piece(List(9, true, {"a"}) + "\n") + Piece("\n"));
   after_list.Until([&] { return after_list.news.size() == 2; });
   CHECK(after_list.news == std::vector<Scope>{Scope::kFull, Scope::kFailed});
 }
@@ -132,10 +50,10 @@
     std::string before, again;
   } drips[] = {{"HTTP/1.1 200 OK\r\nA: ", "a"},
                {"", "HTTP/1.1 100 Continue\r\n\r\n"},
-               {kHead, Piece(" ")},
-               {kHead + Piece("{"), Piece(" ")},
-               {kHead + Piece("{\"index\":\""), Piece("\n")},
-               {std::string(kHead) + "1;", "x"}};
+               {kWatchHead, Piece(" ")},
+               {kWatchHead + Piece("{"), Piece(" ")},
+               {kWatchHead + Piece("{\"index\":\""), Piece("\n")},
+               {std::string(kWatchHead) + "1;", "x"}};
   for (const auto& drip : drips) {
     CAPTURE(drip.before);
     Watching watch(150);
@@ -152,34 +70,34 @@
   for (std::size_t from = 0; from < list.size(); from += list.size() / 8 + 1)
     pieces.push_back(Piece(list.substr(from, list.size() / 8 + 1)));
   pieces.push_back(Piece("\n"));  // and is done with once it is whole
-  Watching watch(300);
-  watch.Drip(watch.Answer(kHead), pieces, 75);
-  watch.Until([&] { return watch.drips > 24 || watch.news.size() > 1; });
+  Watching watch(1600);  // 1.68 s for the list: more than a silence, less than a quarter more
+  watch.Drip(watch.Answer(kWatchHead), pieces, 240);
+  watch.Until([&] { return watch.drips > 16 || watch.news.size() > 1; });
   CHECK(watch.news == std::vector<Scope>{Scope::kFull});
 
   Watching endless(100, 7, 65536);
-  endless.Drip(endless.Answer(kHead), {Piece("{"), Piece(std::string(20000, ' '))}, 20);
+  endless.Drip(endless.Answer(kWatchHead), {Piece("{"), Piece(std::string(20000, ' '))}, 20);
   endless.Until([&] { return !endless.news.empty(); });
   CHECK(endless.Failed());
 }
 
 TEST_CASE("watch: heartbeats keep it, and say once that it stands") {
   Watching watch(300);
-  watch.Drip(watch.Answer(kHead), {Piece("\r\n")}, 50);
+  watch.Drip(watch.Answer(kWatchHead), {Piece("\r\n")}, 50);
   watch.Until([&] { return watch.drips > 20; });
   CHECK(watch.news == std::vector<Scope>{Scope::kDelta});
   CHECK(watch.told == std::vector<std::size_t>{0});
   CHECK(watch.counters.pool_changes == 0);
 
   Watching anew(20000, 0);  // has asked for the whole list: a heartbeat is not that
-  anew.Answer(kHead + Piece("\n") + Piece("\n") + Piece(List(3, true, {"a"})));
+  anew.Answer(kWatchHead + Piece("\n") + Piece("\n") + Piece(List(3, true, {"a"})));
   anew.Until([&] { return !anew.news.empty(); });
   CHECK(anew.news == std::vector<Scope>{Scope::kFull});
 }
 
 TEST_CASE("watch: indented lists, each taken as soon as it is whole") {
   Watching watch;
-  watch.Answer(kHead + Piece(List(8, true, {"a", "b"}, 2)));  // no end of line
+  watch.Answer(kWatchHead + Piece(List(8, true, {"a", "b"}, 2)));  // no end of line
   watch.Until([&] { return watch.news.size() == 1; });
   CHECK(watch.Names() == "a b ");
   End& end = watch.discovery.ends.back();
@@ -206,18 +124,18 @@
 
 TEST_CASE("watch: after a break it asks from the last whole list on") {
   Watching watch;
-  watch.Answer(kHead + Piece(List(8, true, {"a", "b"}, 2) + "\n" + List(9, false, {"c"}, 2).substr(0, 90)));
+  watch.Answer(kWatchHead + Piece(List(8, true, {"a", "b"}, 2) + "\n" + List(9, false, {"c"}, 2).substr(0, 90)));
   watch.Until([&] { return watch.news.size() == 1; });
   watch.discovery.ends.back().Hang();
   watch.Until([&] { return watch.news.size() == 2; });
   CHECK(watch.news.back() == Scope::kFailed);
   watch.pool->Watch();  // nothing of the half list is left
-  watch.Answer(kHead + Piece(Gone(10, "a")) + Piece(List(10, false, {"c"}, 2)), 2);
+  watch.Answer(kWatchHead + Piece(Gone(10, "a")) + Piece(List(10, false, {"c"}, 2)), 2);
   CHECK(watch.discovery.ends.back().got.starts_with("GET /api/targets?watch=1&from=8 "));
   watch.Until([&] { return watch.news.size() == 4; });
   CHECK(watch.Names() == "b c ");
   watch.pool->Watch();
-  watch.Answer(kHead + Piece(List(3, true, {"x"}, 2)), 3);  // discovery began anew
+  watch.Answer(kWatchHead + Piece(List(3, true, {"x"}, 2)), 3);  // discovery began anew
   CHECK(watch.discovery.ends.back().got.find("from=10 ") != std::string::npos);
   watch.Until([&] { return watch.news.size() == 5; });
   CHECK(watch.news.back() == Scope::kFull);
@@ -239,7 +157,7 @@
   for (const auto& [text, index] : bad) {
     CAPTURE(text);
     Watching watch(20000, 7, 4);
-    watch.Answer(kHead + Piece(text));
+    watch.Answer(kWatchHead + Piece(text));
     watch.Until([&] { return watch.counters.watch_failures == 1; });
     CHECK(watch.news.back() == Scope::kFailed);
     CHECK(watch.pool->index() == index);
@@ -248,7 +166,7 @@
   std::string lists;
   for (int i = 0; i < 70; ++i) lists += List(8 + i, false, {"a"}) + "\n";
   REQUIRE(lists.size() > 8 * 1024);
-  many.Answer(kHead + Piece(lists));
+  many.Answer(kWatchHead + Piece(lists));
   many.Until([&] { return many.news.size() == 70; });
   CHECK(many.pool->index() == 77);
 }
