--- a/src/front/listener.cpp
+++ b/src/front/listener.cpp
@@ -52,7 +52,7 @@
     auto* listener = static_cast<Listener*>(self);
     listener->log_.Line("accept failed", std::strerror(errno));
     if (listener->MakeRoom()) return;
-    listener->Pause();  // or the loop would do nothing but try again
+    listener->Pause(listener->tuning_.accept_pause);  // or the loop would do nothing but try again
   });
 }
 
@@ -62,10 +62,10 @@
 
 int Listener::port() const { return PortOf(socket()); }
 
-void Listener::Pause() {
+void Listener::Pause(Duration pause) {
   if (!listener_) return;
   evconnlistener_disable(listener_.get());
-  accept_again_.Set(tuning_.accept_pause);
+  accept_again_.Set(pause);
 }
 
 void Listener::Accept(bool yes) {
@@ -80,10 +80,15 @@
   sessions_.push_back(std::make_unique<ClientSession>(*this, base_, socket, decision_, settings_, tuning_,
                                                       clock_, log_, counters_));
   sessions_.back()->self = std::prev(sessions_.end());
+  bool closed = false;
   if (sessions_.size() > Part(sockets_.most, tuning_.share) || sockets_.held >= sockets_.most) {
-    if (!MakeRoom()) Pause();  // what comes waits, so that no crowd takes the members' descriptors
+    closed = MakeRoom();
+    // What comes waits, so that no crowd takes the members' descriptors.
+    if (!closed) Pause(tuning_.accept_pause);
   }
-  if (sessions_.size() > Part(sockets_.limit, tuning_.held_share)) CloseHeld();
+  if (sessions_.size() > Part(sockets_.limit, tuning_.held_share)) closed |= CloseHeld();
+  // A closed session's descriptor is free at the end of this turn of the loop, which accepts all that waits.
+  if (closed) Pause({});
   return *sessions_.back();
 }
 
@@ -156,7 +161,7 @@
 // The front holds a part of the descriptors for clients' requests and no more. Guards against clients who ask
 // once and keep their connection: they would fill that part before the idle time is over, and nobody else
 // could ask.
-void Listener::CloseHeld() {
+bool Listener::CloseHeld() {
   std::size_t held = 0, begin = 0, most = Part(sockets_.limit, tuning_.held_share);
   ClientSession* best = nullptr;
   for (auto& session : sessions_) {
@@ -171,9 +176,10 @@
     if (better) best = session.get();
   }
   // Of those that have begun their first command some take their time, and the others are strangers.
-  if (held + std::min(begin, most / 2) <= most || best == nullptr) return;
+  if (held + std::min(begin, most / 2) <= most || best == nullptr) return false;
   ++counters_.clients_closed_for_room;
   End(*best);
+  return true;
 }
 
 // Ends what has had its time.
--- a/src/front/listener.h
+++ b/src/front/listener.h
@@ -46,9 +46,9 @@
  private:
   ClientSession& Accepted(evutil_socket_t socket);
   bool EndIfOver(ClientSession& session, TimePoint now);
-  void Pause();
+  void Pause(Duration pause);  // accepts no more until then; at least for the rest of this turn of the loop
   bool MakeRoom();
-  void CloseHeld();
+  bool CloseHeld();
   void Sweep();
 
   event_base* base_;
