--- a/tests/net/watch_test.cpp
+++ b/tests/net/watch_test.cpp
@@ -153,6 +153,7 @@
 };
 
 constexpr std::chrono::milliseconds kLongestFirstPause{600};
+constexpr std::chrono::seconds kToldAfter{6};  // counts what discovery has to tell, from when it could be had
 
 TEST_CASE("reload: what the old discovery still says after the move is not heard") {
   Moving stage;
@@ -220,6 +221,20 @@
   for (End& end : stage.next.ends) CHECK(end.closed);
 }
 
+// Together: the silence, the module's pauses and a call that is turned away; with the tuning that is
+// installed.
+TEST_CASE("what a watch that falls silent misses is had in time, though the next call is turned away") {
+  Moving stage;
+  stage.Watched({R"({"index":70,"snapshot":false,"endpoints":[]})"});
+  stage.Changes(1);
+  auto silent_from = steady_clock::now();
+  stage.Answer(stage.discovery, 1, "70", "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+  stage.Answer(stage.discovery, 2, "70", kWatchHead + stage.Draining(71, false, true));
+  stage.Changes(2);
+  CHECK(stage.Read() == "$3\r\nnew\r\n");
+  CHECK(steady_clock::now() - silent_from < kToldAfter);
+}
+
 // The module's pause after the old discovery's failure goes on through the move: what is due at its end has
 // been done by then, and a call that waits for its answer must not lose its place.
 TEST_CASE("reload: the call at the new discovery is not broken off by a repeat due from before") {
