--- a/src/handover/predecessor.cpp
+++ b/src/handover/predecessor.cpp
@@ -65,6 +65,7 @@
             return std::nullopt;
           }
           got.listener = std::move(packet.file);
+          got.discovery = packet.head.value("discovery", std::string());
           got.index = packet.head.at("index").get<std::int64_t>();
           got.keeps = packet.head.at("keeps").get<std::int64_t>();
           got.memory = packet.head.value("memory", std::int64_t{0});
--- a/src/handover/successor.cpp
+++ b/src/handover/successor.cpp
@@ -94,6 +94,7 @@
   }
   channel_->Send({{{"type", "offer"},
                    {"version", kVersion},
+                   {"discovery", offer.discovery},
                    {"index", offer.index},
                    {"keeps", offer.keeps.descriptors},
                    {"memory", offer.keeps.memory},
--- a/src/handover/successor.h
+++ b/src/handover/successor.h
@@ -19,8 +19,9 @@
     std::int64_t descriptors = 0, memory = 0;
   };
   struct Offer {
-    int listener = -1;  // stays the caller's; -1: there is none any more
-    std::int64_t index = 0;
+    int listener = -1;       // stays the caller's; -1: there is none any more
+    std::string discovery;   // the address where the pool was told
+    std::int64_t index = 0;  // and its version there
     Keeps keeps;
     std::vector<nlohmann::json> endpoints;
     bool away = false;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -44,10 +44,12 @@
 
 PoolList Known(const Config& config, const std::optional<handover::Inheritance>& inherited, Log& log) {
   if (!inherited) return config.known;
+  // A version of another discovery means nothing to this one: the whole list is asked for.
+  bool elsewhere = !inherited->discovery.empty() && inherited->discovery != config.discovery;
+  std::int64_t index = elsewhere ? 0 : inherited->index;
   try {
-    return ReadPoolList(
-        {{"index", inherited->index}, {"snapshot", true}, {"endpoints", inherited->endpoints}},
-        config.settings);
+    return ReadPoolList({{"index", index}, {"snapshot", true}, {"endpoints", inherited->endpoints}},
+                        config.settings);
   } catch (const std::invalid_argument& error) {
     log.Line("handover", std::string("the pool handed on cannot be used: ") + error.what());
     return config.known;
@@ -236,6 +238,7 @@
 handover::Successor::Offer Router::MakeOffer() {
   handover::Successor::Offer offer;
   offer.listener = listener_.socket();
+  offer.discovery = running_.discovery;
   offer.index = pool_.index();
   offer.keeps = Keeps();
   offer.away = life_.away();
--- a/tests/net/upgrade_test.cpp
+++ b/tests/net/upgrade_test.cpp
@@ -150,6 +150,28 @@
   stage.Until([&] { return ended == 2; });  // the second at its last, for here the first stays as an object
 }
 
+// Versions are one discovery's own, and a new process may be configured with another than the old one
+// watches.
+TEST_CASE("upgrade: the version handed on is asked from only where it was told") {
+  for (bool moved : {false, true}) {
+    CAPTURE(moved);
+    Folder folder;
+    Stage stage(kYes, {}, "", 1024, 192, folder.Door());
+    Peer elsewhere(stage.base.get());
+    stage.Watched({R"({"index":70,"snapshot":false,"endpoints":[]})"});
+    stage.Until([&] { return stage.router.counters().pool_changes == 1; });
+    std::string said;
+    auto inherited = AskFrom(stage, folder.Door(), said);
+    REQUIRE_MESSAGE(inherited.has_value(), said);
+    Config config = stage.Configured();
+    if (moved) config.discovery = "127.0.0.1:" + std::to_string(elsewhere.port);
+    Router next(stage.base.get(), config, std::move(inherited), folder.Door());
+    Peer& asked = moved ? elsewhere : stage.discovery;
+    stage.Until([&] { return asked.Count("watch=1&from=") == (moved ? 1 : 2); });
+    CHECK(asked.ends.back().got.find(moved ? "from=0 " : "from=70 ") != std::string::npos);
+  }
+}
+
 TEST_CASE("upgrade: whatever stands at the door, a start goes on, and says why it takes nothing over") {
   Folder folder;
   Stage stage;
