--- a/src/member/member_codec.cpp
+++ b/src/member/member_codec.cpp
@@ -22,7 +22,7 @@
 
 class MemberCodec : public ServerCodec {
  public:
-  void Encode(const Request& request, Duration limit, evbuffer* out) override {
+  void Encode(const Request& request, Duration left, evbuffer* out) override {
     parser_.Reset();
     value_ = NewBuffer();
     length_ = left_ = 0;
@@ -31,7 +31,7 @@
     AppendBulk(out, request.command);
     AppendBulk(out, request.key);
     AppendBulk(out, request.id);
-    AppendBulk(out, WithLimit(request.facts, limit));
+    AppendBulk(out, WithLimit(request.facts, left));
     if (request.write) {
       evbuffer_add_printf(out, "$%zu\r\n", ValueSize(request));
       AppendValue(request, out);
--- a/src/member/member_connections.cpp
+++ b/src/member/member_connections.cpp
@@ -33,13 +33,21 @@
   return true;
 }
 
-void MemberConnection::Begin(Attempt& attempt, const Request& request, Duration limit) {
+void MemberConnection::Begin(Attempt& attempt, const Request& request, TimePoint deadline) {
   attempt_ = &attempt;
-  dispatched_ = began_ = paused_ = false;
-  if (connected_) timer_.Stop();
-  if (!connected_) return codec_->Encode(request, limit, bufferevent_get_output(socket_.get()));
+  request_ = &request;
+  deadline_ = deadline;
+  begun_ = dispatched_ = began_ = paused_ = false;
+  if (!connected_) return;
+  timer_.Stop();
+  Write();
+}
+
+// Encoded now, not when the dial began: what the server is told of the time is what is left.
+void MemberConnection::Write() {
+  begun_ = true;
   BufferPtr text = NewBuffer();
-  codec_->Encode(request, limit, text.get());
+  codec_->Encode(*request_, deadline_ - home_.clock_.Now(), text.get());
   if (WriteNow(socket_.get(), text.get())) Written();
 }
 
@@ -57,7 +65,7 @@
 }
 
 bool MemberConnection::written() const {
-  return connected_ && evbuffer_get_length(bufferevent_get_output(socket_.get())) == 0;
+  return begun_ && evbuffer_get_length(bufferevent_get_output(socket_.get())) == 0;
 }
 
 void MemberConnection::Abandon() {
@@ -66,8 +74,8 @@
 }
 
 void MemberConnection::Read() {
-  Written();                  // an answer may be read before the loop tells of the write
-  if (attempt_ == nullptr) {  // nobody asked
+  Written();                             // an answer may be read before the loop tells of the write
+  if (attempt_ == nullptr || !begun_) {  // nobody asked
     ++home_.counters_.closed_as_stray;
     return Break();
   }
@@ -126,7 +134,7 @@
   if ((what & BEV_EVENT_CONNECTED) != 0) {
     connected_ = true;
     timer_.Stop();
-    return;
+    return Write();
   }
   if ((what & BEV_EVENT_EOF) != 0 && attempt_ != nullptr) {
     if (auto reply = codec_->ReadAtEnd()) return Finish(std::move(*reply), false);
@@ -183,7 +191,7 @@
   if (member.connections.empty()) members_.erase(std::string(member.name));
 }
 
-MemberConnection* MemberConnections::Begin(Attempt& attempt, const Request& request, Duration limit) {
+MemberConnection* MemberConnections::Begin(Attempt& attempt, const Request& request, TimePoint deadline) {
   auto found = members_.find(attempt.member());
   if (found == members_.end() || found->second.to_size == 0) {
     log_.Line("member unknown", attempt.member());
@@ -214,7 +222,7 @@
       return nullptr;
     }
   }
-  connection->Begin(attempt, request, limit);
+  connection->Begin(attempt, request, deadline);
   return connection;
 }
 
--- a/src/member/member_connections.h
+++ b/src/member/member_connections.h
@@ -32,7 +32,9 @@
   ~MemberConnection();
 
   bool Dial(const sockaddr_storage& address, int size, Duration timeout);
-  void Begin(Attempt& attempt, const Request& request, Duration limit);
+  // Begins the attempt at once, or as soon as the connection is up. `request` must live as long as the attempt
+  // is carried, and is told to the server with what is left till `deadline` when its first byte is written.
+  void Begin(Attempt& attempt, const Request& request, TimePoint deadline);
   // The flow no longer waits: what comes for it must not be taken for another's answer, so this closes.
   void Abandon();
   // Whether nothing has come on it since the last answer, nor the other end closed it.
@@ -41,6 +43,8 @@
   void Resume();
   // Whether the request's last byte was handed to the socket. Queued here is not written.
   bool written() const;
+  // Whether its first byte was.
+  bool begun() const { return begun_; }
 
  private:
   friend class MemberConnections;
@@ -51,6 +55,7 @@
   }
   void Read();
   void Written();
+  void Write();
   bool PassOn(evbuffer* last);
   void Happened(short what);
   void Finish(FlowReply reply, bool keep);
@@ -60,8 +65,11 @@
   Member& member_;
   std::unique_ptr<ServerCodec> codec_;
   Attempt* attempt_ = nullptr;
+  const Request* request_ = nullptr;  // the attempt's
+  TimePoint deadline_{};              // the attempt's, told to the server
   bool connected_ = false;
-  bool dispatched_ = false;              // the attempt's last byte was handed to the socket, and counted
+  bool begun_ = false;                   // the attempt's first byte was handed to the socket
+  bool dispatched_ = false;              // its last byte was, and counted
   bool began_ = false, paused_ = false;  // the answer's value is being passed on; and is not read for now
   bool outdated_ = false;  // the member has moved or started anew since it was dialled: ends with its attempt
   TimePoint idle_since_{};
@@ -87,7 +95,7 @@
 
   void Learn(Scope scope, const std::vector<PoolEntry>& entries);
   // Null if no connection can be tried.
-  MemberConnection* Begin(Attempt& attempt, const Request& request, Duration limit);
+  MemberConnection* Begin(Attempt& attempt, const Request& request, TimePoint deadline);
   void CloseIdle(const std::string& member);
   // No request that comes later goes out on a connection that stands now.
   void Outdate(Member& member);
--- a/src/member/origin.cpp
+++ b/src/member/origin.cpp
@@ -1,5 +1,6 @@
 // HTTP to and from the origin.
 #include "member/server_codec.h"
+#include "protocol/facts.h"
 #include "protocol/http1.h"
 #include "protocol/resp.h"
 
@@ -8,7 +9,7 @@
 
 class OriginCodec : public ServerCodec {
  public:
-  void Encode(const Request& request, Duration, evbuffer* out) override {
+  void Encode(const Request& request, Duration left, evbuffer* out) override {
     reader_.emplace(resp::kMaxBody);
     whole_ = passed_ = false;
     auto add = [out](std::string_view text) { Append(out, text); };
@@ -17,7 +18,7 @@
     add(" HTTP/1.1\r\nHost: origin\r\nX-Correlation-Id: ");
     add(request.id);
     add("\r\nX-Facts: ");
-    add(request.facts);  // as received
+    add(WithLimit(request.facts, left));  // as received, but for the time that is left
     if (request.write) evbuffer_add_printf(out, "\r\nContent-Length: %zu", ValueSize(request));
     add("\r\n\r\n");
     AppendValue(request, out);
--- a/src/member/server_codec.h
+++ b/src/member/server_codec.h
@@ -24,7 +24,8 @@
 class ServerCodec {
  public:
   virtual ~ServerCodec() = default;
-  virtual void Encode(const Request& request, Duration limit, evbuffer* out) = 0;
+  // The request as it is written; `left` is what the router will still wait, and is told to the server.
+  virtual void Encode(const Request& request, Duration left, evbuffer* out) = 0;
   // The answer, once it is whole; takes it out of `in`.
   virtual std::optional<FlowReply> Read(evbuffer* in) = 0;
   // The answer, if the connection's end completes it.
--- a/src/stage/server_side_flow.cpp
+++ b/src/stage/server_side_flow.cpp
@@ -15,7 +15,7 @@
   started_ = clock_.Now();
   if (limit <= Duration::zero()) return EndWith(Result::kLate);
   connections_ = &connections;
-  connection_ = connections.Begin(*this, request, limit);
+  connection_ = connections.Begin(*this, request, started_ + limit);
   if (connection_ == nullptr) return EndWith(Result::kNoConn);
   limit_.Set(limit);
 }
