--- a/src/stage/decision.cpp
+++ b/src/stage/decision.cpp
@@ -187,7 +187,10 @@
   ForgetIfOver(left.id);
 }
 
-void Decision::On(Began& began) { Ask(StreamStartEvent{began.id, began.attempt}); }
+void Decision::On(Began& began) {
+  Ask(StreamStartEvent{began.id, began.attempt});
+  ForgetIfOver(began.id);
+}
 
 void Decision::On(Ended& ended) {
   Transaction* transaction = Find(ended.id);
@@ -261,8 +264,7 @@
   int attempt = static_cast<int>(flows.size());
   flows.push_back(std::make_unique<ServerSideFlow>(*this, base_, clock_, send.id, attempt, send.server.name));
   ++transaction->open_flows;
-  if (transaction->finished() || transaction->ending || transaction->streams() >= 0 ||
-      transaction->deadline() <= clock_.Now() || attempt >= settings_.try_limit) {
+  if (transaction->closed() || transaction->deadline() <= clock_.Now() || attempt >= settings_.try_limit) {
     ++counters_.outcomes[static_cast<std::size_t>(Result::kNeverSent)];
     return NeverSent(send.id, attempt, send.server.name);
   }
@@ -299,6 +301,7 @@
 void Decision::End(Transaction& transaction, takeover::End end, Duration come_back) {
   if (!transaction.covered || transaction.finished()) return Tell(transaction, end, come_back);
   transaction.ending = true;
+  transaction.GiveUpUnbegun();
   transaction.come_back = come_back;
   keeping_->Finish(transaction.id(), end, {});
 }
@@ -365,7 +368,9 @@
 
 void Decision::ForgetIfOver(RequestId id) {
   Transaction* transaction = Find(id);
-  if (transaction == nullptr || !transaction->finished()) return;
+  if (transaction == nullptr) return;
+  if (transaction->closed()) transaction->GiveUpUnbegun();
+  if (!transaction->finished()) return;
   if (transaction->work > 0) TellEnd(*transaction);
   auto open = open_ids_.find(transaction->request().id);
   if (open != open_ids_.end() && open->second == id) open_ids_.erase(open);
--- a/src/stage/server_side_flow.cpp
+++ b/src/stage/server_side_flow.cpp
@@ -51,10 +51,13 @@
 
 void ServerSideFlow::Cancel() {
   if (ended_) return;
+  Result result = dialling() ? Result::kNeverSent : Result::kCancelled;
   LeaveConnection();
-  EndWith(Result::kCancelled);
+  EndWith(result);
 }
 
+bool ServerSideFlow::dialling() const { return connection_ != nullptr && !connection_->begun(); }
+
 // What was not written whole by now never ran: to the module that is a connection that did not come up. Where
 // a written one got no word, the member's idle connections may be as dead: closed, so that the next flow
 // dials and is told soon. Guards against members lost without a word, which TCP does not tell.
--- a/src/stage/server_side_flow.h
+++ b/src/stage/server_side_flow.h
@@ -38,7 +38,10 @@
   ~ServerSideFlow() override;
 
   void Start(MemberConnections& connections, const Request& request, Duration limit);
+  // Its outcome says that it never ran if it had not begun.
   void Cancel();
+  // Whether it waits for its connection to come up, so that nothing of it has been written.
+  bool dialling() const;
 
   // More of a large value may come, after Next::kWait.
   void GoOn();
--- a/src/stage/transaction.cpp
+++ b/src/stage/transaction.cpp
@@ -48,6 +48,12 @@
   client->Ends(place_, whole);
 }
 
+void Transaction::GiveUpUnbegun() {
+  for (auto& flow : flows_) {
+    if (flow && flow->dialling()) flow->Cancel();
+  }
+}
+
 void Transaction::ClientLeft() {
   if (std::exchange(client_, nullptr) != nullptr) ++counters_.transactions_gone;
 }
--- a/src/stage/transaction.h
+++ b/src/stage/transaction.h
@@ -37,6 +37,10 @@
   int streams() const { return client_ == nullptr ? -1 : streams_; }
 
   bool finished() const { return client_ == nullptr; }
+  // Whether no attempt may begin any more: it is finished, or about to be, or one brings its value.
+  bool closed() const { return finished() || ending || streams_ >= 0; }
+  // Ends the attempts that have not begun.
+  void GiveUpUnbegun();
   // kLost: it failed, or its client left.
   enum class Fate { kServed, kRejected, kLost };
   Fate fate() const { return fate_; }  // once it has ended
--- a/tests/net/attempts_test.cpp
+++ b/tests/net/attempts_test.cpp
@@ -87,5 +87,35 @@
         std::string::npos);
 }
 
+// Guards against work for a client that has gone: its attempt was written once the dial was up. The other
+// request shows when that would have been, since it dialled later.
+TEST_CASE("attempt: one that still dials when its client leaves never begins") {
+  LateStage stage(Stage::Says(Value("x")));
+  End& leaves = stage.Client(GetWithin(kKey, kWaits));
+  stage.Until([&] { return stage.router.counters().dials == 1; });
+  End& stays = stage.Client(GetWithin(kOtherKey, kWaits));
+  stage.Until([&] { return stage.router.counters().dials == 2; });
+  leaves.Hang();
+  stage.Until([&] { return stage.router.counters().transactions_gone == 1; });
+  stage.late.Open();
+  stage.Until([&] { return stays.got == kGot; });
+  CHECK(stage.late.Count(kOtherKey) == 1);
+  CHECK(stage.late.Count(kKey) == 0);
+  CHECK(stage.Ended() == 2);
+  CHECK(Outcomes(stage, Result::kNeverSent) == 1);
+}
+
+// The same where an attempt has begun: it runs on, or is given up as before, and is told once.
+TEST_CASE("attempt: one that has begun when its client leaves keeps its own outcome") {
+  Stage stage;
+  End& client = stage.Client(GetWithin(kKey, kWaits));
+  stage.Until([&] { return stage.member.Count("OBJ.GET") == 1; });
+  client.Hang();
+  stage.Until([&] { return stage.router.counters().transactions_gone == 1; });
+  stage.member.ends.front().Say(Value("x"));
+  stage.Until([&] { return Outcomes(stage, Result::kGood) + Outcomes(stage, Result::kCancelled) == 1; });
+  CHECK(Outcomes(stage, Result::kNeverSent) == 0);
+}
+
 }  // namespace
 }  // namespace peatbend::net::test
