--- a/src/stage/decision.cpp
+++ b/src/stage/decision.cpp
@@ -369,7 +369,10 @@
 void Decision::ForgetIfOver(RequestId id) {
   Transaction* transaction = Find(id);
   if (transaction == nullptr) return;
-  if (transaction->closed()) transaction->GiveUpUnbegun();
+  if (transaction->closed()) {
+    transaction->GiveUpUnbegun();
+    NotSent(*transaction);  // its record says nothing of an attempt whose client has left
+  }
   if (!transaction->finished()) return;
   if (transaction->work > 0) TellEnd(*transaction);
   auto open = open_ids_.find(transaction->request().id);
