--- a/src/front/client_session.cpp
+++ b/src/front/client_session.cpp
@@ -72,7 +72,7 @@
     if (body_ && !TakeBody(in)) break;
     if (body_ && evbuffer_get_length(in) == 0) break;
     if (Crowded()) {
-      bufferevent_disable(socket_.get(), EV_READ);
+      read_pause_.Pause();
       break;
     }
     if (!TakeCommand(Contents(in))) break;
@@ -111,7 +111,7 @@
   Booking memory(home_.memory());
   if (!memory.Try(parser_.body())) {  // not read till others are done with theirs
     waits_for_room_ = true;
-    bufferevent_disable(socket_.get(), EV_READ);
+    read_pause_.Pause();
     return false;
   }
   body_.emplace(Body{std::move(command.request), parser_.body()});
@@ -135,7 +135,7 @@
 
 void ClientSession::TryAgain() {
   if (!std::exchange(waits_for_room_, false)) return;
-  bufferevent_enable(socket_.get(), EV_READ);
+  read_pause_.Resume();
   Read();
 }
 
@@ -210,7 +210,7 @@
   waits_for_room_ = false;
   evbuffer* in = bufferevent_get_input(socket_.get());
   evbuffer_drain(in, evbuffer_get_length(in));
-  bufferevent_enable(socket_.get(), EV_READ);
+  read_pause_.Resume();
   Say(std::string("-ERR ").append(complaint).append("\r\n"));
 }
 
@@ -295,8 +295,7 @@
   quiet_since_ = clock_.Now();
   // Where the session waits to hear that all is written, the bufferevent has to write, for it tells.
   bool waits = !owed_.empty() && owed_.front().value == Owed::Value::kWaits;
-  bool told = closing_ || waits || home_.doors().rest() != Doors::Rest::kStays ||
-              (bufferevent_get_enabled(socket_.get()) & EV_READ) == 0;
+  bool told = closing_ || waits || home_.doors().rest() != Doors::Rest::kStays || read_pause_.paused();
   if (told) {
     bufferevent_write_buffer(socket_.get(), out.get());
   } else {
@@ -317,9 +316,8 @@
     return;
   }
   if (home_.doors().rest() != Doors::Rest::kStays && at_rest()) return home_.AtRest(*this);
-  if (!closing_ && !waits_for_room_ && (bufferevent_get_enabled(socket_.get()) & EV_READ) == 0 &&
-      !Crowded()) {
-    bufferevent_enable(socket_.get(), EV_READ);
+  if (!closing_ && !waits_for_room_ && read_pause_.paused() && !Crowded()) {
+    read_pause_.Resume();
     Read();
   }
 }
@@ -374,7 +372,7 @@
   evbuffer* in = bufferevent_get_input(socket_.get());
   evbuffer_drain(in, evbuffer_get_length(in));
   Account();
-  bufferevent_enable(socket_.get(), EV_READ);
+  read_pause_.Resume();
   if (owed_.empty() && evbuffer_get_length(bufferevent_get_output(socket_.get())) == 0) Written();
 }
 
--- a/src/front/client_session.h
+++ b/src/front/client_session.h
@@ -14,6 +14,7 @@
 #include "base/tuning.h"
 #include "front/client_command.h"
 #include "front/doors.h"
+#include "front/read_pause.h"
 #include "protocol/request.h"
 #include "protocol/resp.h"
 #include "stage/decision.h"
@@ -141,6 +142,7 @@
   std::optional<std::uint64_t> client_;  // its address, hashed, once somebody has asked for it
   Booking memory_;  // for answers that have not been taken
   BuffereventPtr socket_;
+  ReadPause read_pause_{socket_.get(), [this] { Leave(); }};
 };
 
 }  // namespace peatbend::net
