--- a/src/member/attempt.h
+++ b/src/member/attempt.h
@@ -20,6 +20,8 @@
   virtual void Answered(FlowReply reply) = 0;
   // `written`: the request's last byte was handed to the socket, so it may have run.
   virtual void Broken(bool written) = 0;
+  // It must not begin any more, and nothing of it was written.
+  virtual void TooLate() = 0;
 };
 
 }  // namespace peatbend::net
--- a/src/member/member_connections.cpp
+++ b/src/member/member_connections.cpp
@@ -13,7 +13,7 @@
 
 MemberConnection::MemberConnection(MemberConnections& home, Member& member,
                                    std::unique_ptr<ServerCodec> codec)
-    : home_(home), member_(member), codec_(std::move(codec)), timer_(home.base_, [this] { Break(); }) {
+    : home_(home), member_(member), codec_(std::move(codec)), timer_(home.base_, [this] { OutOfTime(); }) {
   ++home_.sockets_.held;
 }
 
@@ -29,20 +29,29 @@
   int yes = 1;
   setsockopt(bufferevent_getfd(socket_.get()), IPPROTO_TCP, TCP_NODELAY, &yes, sizeof yes);
   bufferevent_enable(socket_.get(), EV_READ | EV_WRITE);
-  timer_.Set(timeout);
+  up_by_ = home_.clock_.Now() + timeout;
   return true;
 }
 
-void MemberConnection::Begin(Attempt& attempt, const Request& request, TimePoint deadline) {
+void MemberConnection::Begin(Attempt& attempt, const Request& request, AttemptTimes times) {
   attempt_ = &attempt;
   request_ = &request;
-  deadline_ = deadline;
+  deadline_ = times.deadline;
   begun_ = dispatched_ = began_ = paused_ = false;
-  if (!connected_) return;
+  begin_by_ = times.begin_by;
+  if (!connected_) return ArmDialTimer();
   timer_.Stop();
   Write();
 }
 
+void MemberConnection::BeginBy(TimePoint latest) {
+  if (connected_ || latest >= begin_by_) return;
+  begin_by_ = latest;
+  ArmDialTimer();
+}
+
+void MemberConnection::ArmDialTimer() { timer_.Set(std::min(up_by_, begin_by_) - home_.clock_.Now()); }
+
 // Encoded now, not when the dial began: what the server is told of the time is what is left.
 void MemberConnection::Write() {
   begun_ = true;
@@ -132,6 +141,8 @@
 
 void MemberConnection::Happened(short what) {
   if ((what & BEV_EVENT_CONNECTED) != 0) {
+    TimePoint latest = std::min(begin_by_, deadline_);
+    if (home_.clock_.Now() > latest) return OutOfTime();  // the loop has not got round to the timer
     connected_ = true;
     timer_.Stop();
     return Write();
@@ -142,7 +153,16 @@
   Break();
 }
 
-// The connection did not come up in time, broke or has stood idle long enough.
+// The connection did not come up in time, or has stood idle long enough. One that is too late for its attempt
+// alone is no failure to connect: the module counts those against the server.
+void MemberConnection::OutOfTime() {
+  bool dialling = attempt_ != nullptr && !begun_;
+  if (!dialling || begin_by_ > up_by_) return Break();
+  Attempt* attempt = std::exchange(attempt_, nullptr);
+  home_.Close(*this);
+  attempt->TooLate();
+}
+
 void MemberConnection::Break() {
   bool sent = attempt_ != nullptr && written();
   Attempt* attempt = std::exchange(attempt_, nullptr);
@@ -191,7 +211,7 @@
   if (member.connections.empty()) members_.erase(std::string(member.name));
 }
 
-MemberConnection* MemberConnections::Begin(Attempt& attempt, const Request& request, TimePoint deadline) {
+MemberConnection* MemberConnections::Begin(Attempt& attempt, const Request& request, AttemptTimes times) {
   auto found = members_.find(attempt.member());
   if (found == members_.end() || found->second.to_size == 0) {
     log_.Line("member unknown", attempt.member());
@@ -222,7 +242,7 @@
       return nullptr;
     }
   }
-  connection->Begin(attempt, request, deadline);
+  connection->Begin(attempt, request, times);
   return connection;
 }
 
--- a/src/member/member_connections.h
+++ b/src/member/member_connections.h
@@ -26,15 +26,24 @@
 
 struct Member;
 
+// The limits of one attempt.
+struct AttemptTimes {
+  TimePoint deadline{};                   // the router waits for its answer so long, and tells the server so
+  TimePoint begin_by = TimePoint::max();  // its first byte must not be written later
+};
+
 class MemberConnection {
  public:
   MemberConnection(MemberConnections& home, Member& member, std::unique_ptr<ServerCodec> codec);
   ~MemberConnection();
 
   bool Dial(const sockaddr_storage& address, int size, Duration timeout);
-  // Begins the attempt at once, or as soon as the connection is up. `request` must live as long as the attempt
-  // is carried, and is told to the server with what is left till `deadline` when its first byte is written.
-  void Begin(Attempt& attempt, const Request& request, TimePoint deadline);
+  // Begins the attempt at once, or as soon as the connection is up, or not at all if that is too late.
+  // `request` must live as long as the attempt is carried, and is told to the server with what is left till
+  // the deadline when its first byte is written.
+  void Begin(Attempt& attempt, const Request& request, AttemptTimes times);
+  // What waits for the connection to come up does not begin later.
+  void BeginBy(TimePoint latest);
   // The flow no longer waits: what comes for it must not be taken for another's answer, so this closes.
   void Abandon();
   // Whether nothing has come on it since the last answer, nor the other end closed it.
@@ -60,6 +69,8 @@
   void Happened(short what);
   void Finish(FlowReply reply, bool keep);
   void Break();
+  void OutOfTime();
+  void ArmDialTimer();
 
   MemberConnections& home_;
   Member& member_;
@@ -67,6 +78,7 @@
   Attempt* attempt_ = nullptr;
   const Request* request_ = nullptr;  // the attempt's
   TimePoint deadline_{};              // the attempt's, told to the server
+  TimePoint up_by_{}, begin_by_{};    // of a dial, and of the attempt that waits for it
   bool connected_ = false;
   bool begun_ = false;                   // the attempt's first byte was handed to the socket
   bool dispatched_ = false;              // its last byte was, and counted
@@ -95,7 +107,7 @@
 
   void Learn(Scope scope, const std::vector<PoolEntry>& entries);
   // Null if no connection can be tried.
-  MemberConnection* Begin(Attempt& attempt, const Request& request, TimePoint deadline);
+  MemberConnection* Begin(Attempt& attempt, const Request& request, AttemptTimes times);
   void CloseIdle(const std::string& member);
   // No request that comes later goes out on a connection that stands now.
   void Outdate(Member& member);
--- a/src/stage/decision.cpp
+++ b/src/stage/decision.cpp
@@ -231,8 +231,9 @@
 void Decision::On(Permit& permit) {
   Transaction* transaction = Find(permit.id);
   bool wanted = transaction != nullptr && transaction->held >= 0;
-  if (wanted && !transaction->finished() && !transaction->ending && transaction->deadline() > clock_.Now()) {
-    return Start(*transaction, std::exchange(transaction->held, -1), transaction->held_limit);
+  if (wanted && !transaction->closed() && transaction->deadline() > clock_.Now()) {
+    int attempt = std::exchange(transaction->held, -1);
+    return Start(*transaction, attempt, transaction->held_limit, transaction->held_begin_by);
   }
   if (keeping_ != nullptr) keeping_->FlowEnded(permit.id, false);
   if (wanted) NotSent(*transaction);
@@ -268,18 +269,21 @@
     ++counters_.outcomes[static_cast<std::size_t>(Result::kNeverSent)];
     return NeverSent(send.id, attempt, send.server.name);
   }
-  if (!transaction->covered) return Start(*transaction, attempt, send.give_up_after);
+  TimePoint begin_by = transaction->BeginBy(clock_.Now(), send.begin_within);
+  if (!transaction->covered) return Start(*transaction, attempt, send.give_up_after, begin_by);
   transaction->held = attempt;  // its record is asked first
   transaction->held_limit = send.give_up_after;
+  transaction->held_begin_by = begin_by;
   keeping_->Want(send.id, send.server.name);
 }
 
-void Decision::Start(Transaction& transaction, int attempt, Duration give_up_after) {
+void Decision::Start(Transaction& transaction, int attempt, Duration give_up_after, TimePoint begin_by) {
   Duration left = transaction.deadline() - clock_.Now();
   Duration limit = give_up_after == Duration::zero() ? left : std::min(left, give_up_after);
   if (watching_ != nullptr)
     watching_->Sending(transaction.flows()[static_cast<std::size_t>(attempt)]->member());
-  transaction.flows()[static_cast<std::size_t>(attempt)]->Start(connections_, transaction.request(), limit);
+  auto& flow = *transaction.flows()[static_cast<std::size_t>(attempt)];
+  flow.Start(connections_, transaction.request(), limit, begin_by);
 }
 
 void Decision::NeverSent(RequestId id, int attempt, const std::string& member) {
--- a/src/stage/decision.h
+++ b/src/stage/decision.h
@@ -126,7 +126,7 @@
   void Do(const Release& release);
   void Do(const peatbend::Log& line);
   void Do(const Trial& trial);
-  void Start(Transaction& transaction, int attempt, Duration give_up_after);
+  void Start(Transaction& transaction, int attempt, Duration give_up_after, TimePoint begin_by);
   // The module is told so.
   void NeverSent(RequestId id, int attempt, const std::string& member);
   // Its held attempt, if any, is not sent.
--- a/src/stage/server_side_flow.cpp
+++ b/src/stage/server_side_flow.cpp
@@ -11,11 +11,12 @@
   if (connection_ != nullptr) connection_->Abandon();
 }
 
-void ServerSideFlow::Start(MemberConnections& connections, const Request& request, Duration limit) {
+void ServerSideFlow::Start(MemberConnections& connections, const Request& request, Duration limit,
+                           TimePoint begin_by) {
   started_ = clock_.Now();
-  if (limit <= Duration::zero()) return EndWith(Result::kLate);
+  if (limit <= Duration::zero() || started_ > begin_by) return EndWith(Result::kNeverSent);
   connections_ = &connections;
-  connection_ = connections.Begin(*this, request, started_ + limit);
+  connection_ = connections.Begin(*this, request, {.deadline = started_ + limit, .begin_by = begin_by});
   if (connection_ == nullptr) return EndWith(Result::kNoConn);
   limit_.Set(limit);
 }
--- a/src/stage/server_side_flow.h
+++ b/src/stage/server_side_flow.h
@@ -37,7 +37,9 @@
         limit_(base, [this] { OutOfTime(); }) {}
   ~ServerSideFlow() override;
 
-  void Start(MemberConnections& connections, const Request& request, Duration limit);
+  // Waits for the answer for `limit` at most. The first byte is written by `begin_by` or never.
+  void Start(MemberConnections& connections, const Request& request, Duration limit,
+             TimePoint begin_by = TimePoint::max());
   // Its outcome says that it never ran if it had not begun.
   void Cancel();
   // Whether it waits for its connection to come up, so that nothing of it has been written.
@@ -51,6 +53,7 @@
   // From the connection, which lets go of the flow first.
   void Answered(FlowReply reply) override { End(std::move(reply)); }
   void Broken(bool written) override { EndWith(written ? Result::kReset : Result::kNoConn); }
+  void TooLate() override { EndWith(Result::kNeverSent); }
 
   RequestId id() const { return id_; }
   int attempt() const { return attempt_; }
--- a/src/stage/transaction.h
+++ b/src/stage/transaction.h
@@ -39,6 +39,10 @@
   bool finished() const { return client_ == nullptr; }
   // Whether no attempt may begin any more: it is finished, or about to be, or one brings its value.
   bool closed() const { return finished() || ending || streams_ >= 0; }
+  // The latest time at which an attempt may begin that must begin `within` so long; max(): whenever it can.
+  TimePoint BeginBy(TimePoint now, Duration within) const {
+    return within < deadline_ - now ? now + within : TimePoint::max();
+  }
   // Ends the attempts that have not begun.
   void GiveUpUnbegun();
   // kLost: it failed, or its client left.
@@ -59,6 +63,7 @@
   bool ending = false;  // the module has done with it; its end is being recorded
   int held = -1;        // the attempt that waits for the record
   Duration held_limit{}, come_back{};
+  TimePoint held_begin_by = TimePoint::max();
 
  private:
   Counters::OfClass& OfClass();
