--- a/src/member/member_connections.cpp
+++ b/src/member/member_connections.cpp
@@ -189,6 +189,7 @@
     Member& member = members_[entry.entry.id.name];
     member.name = entry.entry.id.name;
     member.gone = entry.entry.listed == Listed::kGone;
+    member.draining = entry.entry.listed == Listed::kDraining;
     member.origin = settings_.aside && entry.entry.kind == settings_.origin_kind;
     bool moved = !entry.address.empty() && entry.address != member.address;
     if (moved) {
@@ -202,9 +203,22 @@
       Outdate(member);
     member.started = std::max(member.started, entry.entry.started);
   }
+  for (auto& [name, member] : members_) BoundBegins(member);
   for (auto at = members_.begin(); at != members_.end();) DropIfGone((at++)->second);
 }
 
+// What still dials when its member is told to drain or gone would be written whenever the connection came up:
+// the customer's dial timeout may be longer than the grace. Counted from the first time that it is told.
+void MemberConnections::BoundBegins(Member& member) {
+  if (!member.gone && !member.draining) {
+    member.begin_until = TimePoint::max();
+    return;
+  }
+  if (member.begin_until != TimePoint::max()) return;
+  member.begin_until = clock_.Now() + settings_.drain_grace;
+  for (auto& connection : member.connections) connection->BeginBy(member.begin_until);
+}
+
 void MemberConnections::DropIfGone(Member& member) {
   if (!member.gone) return;
   CloseIdle(member.name);
@@ -218,6 +232,7 @@
     return nullptr;
   }
   Member& member = found->second;
+  if (clock_.Now() > member.begin_until) return nullptr;
   MemberConnection* connection = nullptr;
   ++counters_.flows;
   if (member.origin) ++counters_.flows_to_origin;
@@ -242,6 +257,7 @@
       return nullptr;
     }
   }
+  times.begin_by = std::min(times.begin_by, member.begin_until);
   connection->Begin(attempt, request, times);
   return connection;
 }
--- a/src/member/member_connections.h
+++ b/src/member/member_connections.h
@@ -95,7 +95,8 @@
   sockaddr_storage to{};
   int to_size = 0;
   TimePoint started{};  // its process, as listed
-  bool origin = false, gone = false;
+  bool origin = false, gone = false, draining = false;
+  TimePoint begin_until = TimePoint::max();  // no attempt begins later: it drains, or has gone
   std::list<std::unique_ptr<MemberConnection>> connections;
   std::vector<MemberConnection*> idle;  // the last used last
 };
@@ -119,6 +120,7 @@
   void Idle(MemberConnection& connection);
   bool MakeRoom();
   MemberConnection* TakeIdle(Member& member);
+  void BoundBegins(Member& member);
   void DropIfGone(Member& member);
 
   event_base* base_;
--- a/tests/net/attempts_test.cpp
+++ b/tests/net/attempts_test.cpp
@@ -117,5 +117,38 @@
   CHECK(Outcomes(stage, Result::kNeverSent) == 0);
 }
 
+// Rule 3. The customer's dial timeout is longer than the grace: an attempt that dialled when its server was
+// told to drain was written whenever the connection came up. It never ran, so the module may ask elsewhere.
+void NeverBeginsAfterGrace(const std::function<std::string(int port)>& change) {
+  LateStage stage(Stage::Says(Value("x")), Stage::Says(kOriginAnswers));
+  End& client = stage.Client(GetWithin(kKey, kWaits));
+  stage.Until([&] { return stage.router.counters().dials == 1; });
+  stage.watch->Say(Chunk(change(stage.late.port)));
+  stage.Until([&] { return stage.router.counters().pool_changes == 2; });
+  stage.late.Open();
+  stage.Until([&] { return client.got.ends_with("\r\n"); });
+  CHECK(client.got == kFetched);
+  CHECK(Outcomes(stage, Result::kNeverSent) == 1);
+  End& later = stage.clients.emplace_back(stage.base.get(), -1);
+  later.Connect(stage.late.port);
+  later.Say("later");
+  stage.Until([&] { return stage.late.Count("later") == 1; });
+  CHECK(stage.late.Count("OBJ.GET") == 0);
+}
+
+std::string Becomes(const std::string& status, int port) {
+  std::string entry = Member("box-1", port);
+  entry.replace(entry.find("SERVING"), 7, status);
+  return R"({"index":43,"snapshot":false,"endpoints":[)" + entry + "]}";
+}
+
+TEST_CASE("attempt: one that dials a server which is told to drain does not begin after the grace") {
+  NeverBeginsAfterGrace([](int port) { return Becomes("DRAINING", port); });
+}
+
+TEST_CASE("attempt: one that dials a server which is told to be gone does not begin after the grace") {
+  NeverBeginsAfterGrace([](int port) { return Becomes("DELETED", port); });
+}
+
 }  // namespace
 }  // namespace peatbend::net::test
