--- a/src/member/member_connections.h
+++ b/src/member/member_connections.h
@@ -26,13 +26,24 @@
 
 struct Member;
 
+// The limits of one attempt.
+struct AttemptTimes {
+  TimePoint deadline{};                   // the router waits for its answer so long, and tells the server so
+  TimePoint begin_by = TimePoint::max();  // its first byte must not be written later
+};
+
 class MemberConnection {
  public:
   MemberConnection(MemberConnections& home, Member& member, std::unique_ptr<ServerCodec> codec);
   ~MemberConnection();
 
   bool Dial(const sockaddr_storage& address, int size, Duration timeout);
-  void Begin(Attempt& attempt, const Request& request, Duration limit);
+  // Begins the attempt at once, or as soon as the connection is up, or not at all if that is too late.
+  // `request` must live as long as the attempt is carried, and is told to the server with what is left till
+  // the deadline when its first byte is written.
+  void Begin(Attempt& attempt, const Request& request, AttemptTimes times);
+  // What waits for the connection to come up does not begin later.
+  void BeginBy(TimePoint latest);
   // The flow no longer waits: what comes for it must not be taken for another's answer, so this closes.
   void Abandon();
   // Whether nothing has come on it since the last answer, nor the other end closed it.
@@ -41,6 +52,8 @@
   void Resume();
   // Whether the request's last byte was handed to the socket. Queued here is not written.
   bool written() const;
+  // Whether its first byte was.
+  bool begun() const { return begun_; }
 
  private:
   friend class MemberConnections;
@@ -51,17 +64,24 @@
   }
   void Read();
   void Written();
+  void Write();
   bool PassOn(evbuffer* last);
   void Happened(short what);
   void Finish(FlowReply reply, bool keep);
   void Break();
+  void OutOfTime();
+  void ArmDialTimer();
 
   MemberConnections& home_;
   Member& member_;
   std::unique_ptr<ServerCodec> codec_;
   Attempt* attempt_ = nullptr;
+  const Request* request_ = nullptr;  // the attempt's
+  TimePoint deadline_{};              // the attempt's, told to the server
+  TimePoint up_by_{}, begin_by_{};    // of a dial, and of the attempt that waits for it
   bool connected_ = false;
-  bool dispatched_ = false;              // the attempt's last byte was handed to the socket, and counted
+  bool begun_ = false;                   // the attempt's first byte was handed to the socket
+  bool dispatched_ = false;              // its last byte was, and counted
   bool began_ = false, paused_ = false;  // the answer's value is being passed on; and is not read for now
   bool outdated_ = false;  // the member has moved or started anew since it was dialled: ends with its attempt
   TimePoint idle_since_{};
@@ -75,7 +95,8 @@
   sockaddr_storage to{};
   int to_size = 0;
   TimePoint started{};  // its process, as listed
-  bool origin = false, gone = false;
+  bool origin = false, gone = false, draining = false;
+  TimePoint begin_until = TimePoint::max();  // no attempt begins later: it drains, or has gone
   std::list<std::unique_ptr<MemberConnection>> connections;
   std::vector<MemberConnection*> idle;  // the last used last
 };
@@ -87,7 +108,7 @@
 
   void Learn(Scope scope, const std::vector<PoolEntry>& entries);
   // Null if no connection can be tried.
-  MemberConnection* Begin(Attempt& attempt, const Request& request, Duration limit);
+  MemberConnection* Begin(Attempt& attempt, const Request& request, AttemptTimes times);
   void CloseIdle(const std::string& member);
   // No request that comes later goes out on a connection that stands now.
   void Outdate(Member& member);
@@ -99,6 +120,7 @@
   void Idle(MemberConnection& connection);
   bool MakeRoom();
   MemberConnection* TakeIdle(Member& member);
+  void BoundBegins(Member& member);
   void DropIfGone(Member& member);
 
   event_base* base_;
