--- a/src/module/attempts.cpp
+++ b/src/module/attempts.cpp
@@ -74,6 +74,8 @@
 void Balancer::Brain::SendTo(Request& request, int index) {
   Server& server = servers_[index];
   if (!LegalSend(request, server)) return End(request);
+  Duration begin_within = LatestStart(request) - now_;  // by the attempts before this one
+  out_->emplace_back(Send{request.id, ServerId{server.id}, request.deadline - now_, begin_within});
   int number = static_cast<int>(request.attempts.size());
   bool counts = set_.attempt_window && number > 0 && !request.free_send;
   if (counts) further_.push_back({now_, {request.id, number}});
@@ -94,7 +96,6 @@
     server.cold_at = now_;
   }
   PumpLater(index);
-  out_->emplace_back(Send{request.id, ServerId{server.id}, request.deadline - now_});
 }
 
 // The final answer: refused where that is true, else failed. Nothing is sent after it.
@@ -146,23 +147,17 @@
   request.free_send = event.result == Result::kMiss;
   if (!MayGoOn(request)) return End(request);
   if (event.result == Result::kMiss) return AskOrigin(request);
-  if (event.result == Result::kFull && !at_origin) return AfterFull(request, index);
-  bool free = !attempt.may_have_run && event.attempt == 0;
+  // Turned away by a full server: waits for it a little, once; then an alternate, or a refusal. Guards
+  // against storms of cheap retries that spread a full server's keys over the fleet.
+  bool full = event.result == Result::kFull && !at_origin;
+  if (full && Sparse() && set_.aside) return AskOrigin(request);
+  bool may_wait =
+      !Sparse() && !request.waited && set_.try_limit - static_cast<int>(request.attempts.size()) > 2;
+  if (full && may_wait) return Enqueue(request, index);
+  bool free = !full && !attempt.may_have_run && event.attempt == 0;
   if (!free && !Repeat(request)) return End(request);
   if (at_origin) return AskOrigin(request);
-  request.avoid.push_back(index);
-  ToCache(request);
-}
-
-// Turned away by a full server: waits for it a little, once; then an alternate, or a refusal.
-// Guards against storms of cheap retries that spread a full server's keys over the fleet.
-void Balancer::Brain::AfterFull(Request& request, int index) {
-  if (!Sparse() && !request.waited && set_.try_limit - static_cast<int>(request.attempts.size()) > 2) {
-    return Enqueue(request, index);
-  }
-  if (Sparse() && set_.aside) return AskOrigin(request);
-  if (!Repeat(request)) return End(request);
-  request.waited = true;
+  request.waited = request.waited || full;
   request.avoid.push_back(index);
   ToCache(request);
 }
--- a/src/module/brain.h
+++ b/src/module/brain.h
@@ -55,7 +55,9 @@
  private:
   // Writes first, then worth, then age.
   using QueueKey = std::tuple<bool, double, std::uint64_t, RequestId>;
-  struct Fading {  // a count that fades exponentially over a time
+  using Waiting =
+      std::vector<std::pair<TimePoint, RequestId>>;  // for another's fetch: deadlines and requests
+  struct Fading {                                    // a count that fades exponentially over a time
     double count = 0;
     TimePoint at{};
     double Now(TimePoint now, Duration over) const {
@@ -226,13 +228,14 @@
 
   void ObserveOrigin(Server& origin, bool was_full);
   void AskOrigin(Request& request);
-  void JoinFetch(Request& request, std::vector<RequestId>& waiting);
+  void JoinFetch(Request& request, Waiting& waiting);
   void EndFetch(Request& request, bool came);
 
   // ---- What may be sent and said (gate.cpp) ------------------------------------------------------
 
   void PruneAllowance();
   bool Allowed(const Request& request) const;
+  TimePoint LatestStart(const Request& request) const;
   bool MayGoOn(const Request& request) const;
   bool LegalSend(const Request& request, const Server& server) const;
   bool LegalRefuse(const Request& request) const;
@@ -246,7 +249,6 @@
   void SendTo(Request& request, int index);
   void End(Request& request);
   void Settle(Request& request, const OutcomeEvent& event, int index);
-  void AfterFull(Request& request, int index);
   void ReleaseIdle(const Server& server);
   void Drop(Request& request, bool came) {
     Unqueue(request);
@@ -302,7 +304,7 @@
   bool stale_ = true;
 
   std::unordered_map<RequestId, Request> requests_;           // looked up, never walked
-  std::map<Key, std::vector<RequestId>> fetches_;             // keys being fetched, and who waits for them
+  std::map<Key, Waiting> fetches_;                            // keys being fetched, and who waits for them
   std::vector<std::pair<std::uint32_t, Fading>> heat_{1024};  // of the heaviest keys
   Fading traffic_, taken_lately_, answered_;
   std::vector<Fading> quickest_{set_.classes.size()};  // answer of a class, ns; fades while none comes
@@ -311,8 +313,7 @@
   std::vector<Fading> tenants_{set_.tenants.size()};
   std::vector<int> tried_;
   std::uint64_t sequence_ = 0, mark_ = 0, tables_built_ = 0;
-  std::vector<double> retry_budgets_ =
-      std::vector<double>(tenants_.size() + 1, RetryMost());  // last: unnamed
+  std::vector<double> retry_budgets_ = std::vector(tenants_.size() + 1, RetryMost());  // last: unnamed
   std::map<int, Latency> zones_;
 
   using Due = std::pair<TimePoint, RequestId>;
--- a/src/module/gate.cpp
+++ b/src/module/gate.cpp
@@ -18,16 +18,25 @@
   return static_cast<double>(further_.size() + 1) <= set_.free_resends.value_or(0) + earned;
 }
 
+// When the next attempt must have begun: in its client's time, and, once an attempt may have run, while its
+// group discards repeats.
+TimePoint Balancer::Brain::LatestStart(const Request& request) const {
+  const ClassSettings& cls = set_.classes[request.cls];
+  TimePoint latest = request.deadline;
+  for (const Attempt& attempt : request.attempts) {
+    if (!attempt.may_have_run || cls.effect == Effect::kSafe) continue;
+    bool keyed = cls.effect == Effect::kKeyed;
+    latest = std::min(latest, keyed ? attempt.sent + cls.window - set_.tick : TimePoint::min());
+  }
+  return latest;
+}
+
 // Whether any further attempt may be sent, whatever the server.
 bool Balancer::Brain::MayGoOn(const Request& request) const {
-  const ClassSettings& cls = set_.classes[request.cls];
-  if (request.streaming || request.deadline - now_ <= Duration::zero()) return false;
+  if (request.streaming || now_ >= LatestStart(request)) return false;
   if (static_cast<int>(request.attempts.size()) >= set_.try_limit || !Allowed(request)) return false;
-  return std::none_of(request.attempts.begin(), request.attempts.end(), [&](const Attempt& attempt) {
-    if (attempt.open && (!set_.second_copies || cls.effect != Effect::kSafe)) return true;
-    if (!attempt.may_have_run || cls.effect == Effect::kSafe) return false;
-    return cls.effect == Effect::kUnsafe || now_ - attempt.sent + set_.tick >= cls.window;
-  });
+  bool copies = set_.second_copies && set_.classes[request.cls].effect == Effect::kSafe;
+  return copies || std::ranges::none_of(request.attempts, &Attempt::open);
 }
 
 // The gate: whether an attempt may be sent. Every send passes it.
--- a/src/module/origin.cpp
+++ b/src/module/origin.cpp
@@ -36,10 +36,10 @@
   Enqueue(request, origin_);
 }
 
-void Balancer::Brain::JoinFetch(Request& request, std::vector<RequestId>& waiting) {
+void Balancer::Brain::JoinFetch(Request& request, Waiting& waiting) {
   TimePoint latest = HeldUntil(request, servers_[origin_]);
   if (now_ >= latest) return End(request);
-  waiting.push_back(request.id);
+  waiting.push_back({request.deadline, request.id});
   request.state = State::kWaitsForFetch;
   Hold(request, latest);
 }
@@ -49,15 +49,11 @@
   if (!request.fetching) return;
   request.fetching = false;
   auto at = fetches_.find(request.key);
-  std::vector<RequestId> waiting = std::move(at->second);
+  Waiting waiting = std::move(at->second);
   fetches_.erase(at);
   // If it did not come, who has the most time left fetches it: those with little would each fail in turn.
-  auto until = [this](RequestId id) {
-    auto found = requests_.find(id);
-    return found == requests_.end() ? TimePoint{} : found->second.deadline;
-  };
-  std::ranges::stable_sort(waiting, std::ranges::greater(), until);
-  for (RequestId id : waiting) {
+  std::ranges::stable_sort(waiting, std::ranges::greater(), &Waiting::value_type::first);
+  for (auto [deadline, id] : waiting) {
     auto found = requests_.find(id);
     if (found == requests_.end() || found->second.state != State::kWaitsForFetch) continue;
     Unqueue(found->second);
--- a/tests/balance_failures_test.cpp
+++ b/tests/balance_failures_test.cpp
@@ -1,4 +1,5 @@
-// What follows an attempt that failed: whether it is sent again, at whose cost, and what the server is in for.
+// What follows an attempt that failed: whether it is sent again, at whose cost, and what the server is in
+// for.
 #include "harness.h"
 
 namespace peatbend {
@@ -39,6 +40,47 @@
   EXPECT_EQ(Only<Refuse>(after).size(), 1u);  // true: every server drops its repeats
 }
 
+Duration BeginsWithin(const std::vector<Action>& actions) {
+  auto sends = Only<Send>(actions);
+  return sends.empty() ? Duration::zero() : sends.front().begin_within;
+}
+
+// An attempt begins only when its connection is up, which may be long after it was sent: the servers drop a
+// repeat for the window alone, counted from the first attempt that may have run.
+TEST(Effects, AFurtherAttemptOfAKeyedRequestMustBeginWithinItsWindow) {
+  Proxy proxy;
+  proxy.List(Fleet(3));
+  EXPECT_EQ(BeginsWithin(proxy.Ask(1, 5, kKeyedWrite)), 1s);
+  proxy.now += 100ms;
+  EXPECT_EQ(BeginsWithin(proxy.Answer(1, Result::kReset)), 295ms);
+  proxy.now += 100ms;
+  EXPECT_EQ(BeginsWithin(proxy.Answer(1, Result::kLate)), 195ms);
+}
+
+TEST(Effects, TheWindowCountsFromTheFirstAttemptThatMayHaveRun) {
+  Proxy proxy;
+  proxy.List(Fleet(3));
+  proxy.Ask(1, 5, kKeyedWrite);
+  proxy.now += 100ms;
+  EXPECT_EQ(BeginsWithin(proxy.Answer(1, Result::kNoConn)), 900ms);  // the first never ran
+  proxy.now += 50ms;
+  EXPECT_EQ(BeginsWithin(proxy.Answer(1, Result::kReset)), 345ms);
+}
+
+TEST(Effects, NoAttemptMayBeginAfterItsClientsTime) {
+  Settings settings = BasicSettings();
+  settings.classes[kKeyedWrite].window = 5s;
+  Proxy proxy(settings);
+  proxy.List(Fleet(3));
+  EXPECT_EQ(BeginsWithin(proxy.Ask(1, 5, kRead, 300ms)), 300ms);
+  EXPECT_EQ(BeginsWithin(proxy.Ask(2, 6, kKeyedWrite)), 1s);
+  EXPECT_EQ(BeginsWithin(proxy.Ask(3, 7, kUnsafeWrite)), 1s);
+  proxy.now += 100ms;
+  EXPECT_EQ(BeginsWithin(proxy.Answer(1, Result::kReset)), 200ms);  // a read: no window
+  EXPECT_EQ(BeginsWithin(proxy.Answer(2, Result::kReset)), 900ms);
+  EXPECT_EQ(BeginsWithin(proxy.Answer(3, Result::kNoConn)), 900ms);
+}
+
 TEST(Effects, AKeyedRequestStaysInItsZoneAndIsNotRefusedOnceItMayHaveRun) {
   Settings settings = BasicSettings();
   settings.aside = false;
