--- /dev/null
+++ b/tests/net/broken_answers_test.cpp
@@ -0,0 +1,133 @@
+// Answers and requests that break off, on real connections: what the outcome is, and what follows from it.
+#include <functional>
+#include <string>
+
+#include "net/raw_server.h"
+#include "net/rules_stage.h"
+
+namespace peatbend::net::test {
+namespace {
+
+const std::string kBrokenKeyRead = Get(kKey, "c=read,t=acme,d=1900");
+const std::string kWholeHttp = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfrom";
+const std::string kNoLength = "HTTP/1.1 200 OK\r\n\r\n";
+const std::string kFromOrigin = "$4\r\nfrom\r\n";
+
+// The list in which these two stand elsewhere.
+void Moves(Stage& stage, const std::string& members) {
+  stage.Watched({R"({"index":42,"snapshot":false,"endpoints":[)" + members + "]}"});
+  stage.Until([&] { return stage.router.counters().pool_changes == 1; });
+}
+
+// A reset is no end: an answer of unknown length may go on behind it.
+TEST_CASE("broken off: an answer over HTTP of unknown length that is reset is not served") {
+  RawServer origin;
+  Stage stage(Stage::Says(kMiss));
+  Moves(stage, Member("origin", origin.port));
+  End& client = stage.Client(kBrokenKeyRead);
+  stage.Until([&] { return origin.Accepted() && origin.Got("\r\n\r\n"); });
+  origin.Say(kNoLength + "fr");
+  origin.Reset();
+  stage.Until([&] { return origin.Accepted() && origin.Got("\r\n\r\n"); });  // the module asks once more
+  CHECK(Outcomes(stage, Result::kReset) == 1);
+  CHECK(client.got.empty());
+  origin.Say(kWholeHttp);
+  stage.Until([&] { return client.got == kFromOrigin; });
+}
+
+TEST_CASE("broken off: an answer over HTTP of unknown length is whole at the connection's end") {
+  RawServer origin;
+  Stage stage(Stage::Says(kMiss));
+  Moves(stage, Member("origin", origin.port));
+  End& client = stage.Client(kBrokenKeyRead);
+  stage.Until([&] { return origin.Accepted() && origin.Got("\r\n\r\n"); });
+  origin.Say(kNoLength + "from");
+  origin.Close();
+  stage.Until([&] { return client.got == kFromOrigin; });
+}
+
+void HalfAnArray(const std::function<void(RawServer&)>& ends) {
+  RawServer member;
+  Stage stage({}, Stage::Says(kWholeHttp));
+  Moves(stage, Member("box-1", member.port));
+  End& client = stage.Client(kBrokenKeyRead);
+  stage.Until([&] { return member.Accepted() && member.Got("\r\n"); });
+  member.Say("*3\r\n$4\r\nhalf\r\n$3\r\nh");
+  ends(member);
+  stage.Until([&] { return client.got == kFromOrigin; });
+  CHECK(Outcomes(stage, Result::kReset) == 1);
+  CHECK(Outcomes(stage, Result::kGood) == 1);
+}
+
+TEST_CASE("broken off: half an array at the connection's end is a reset, and served from elsewhere") {
+  HalfAnArray(&RawServer::Close);
+}
+
+TEST_CASE("broken off: half an array before a reset is a reset, and served from elsewhere") {
+  HalfAnArray(&RawServer::Reset);
+}
+
+// May-have-run is decided by the last byte: what was not written whole never ran, so that even a write that
+// may not be repeated goes out again.
+TEST_CASE("broken off: a write reset before its last byte was written never ran") {
+  const std::string value(resp::kMaxBody, 'v');  // more than the socket's buffers take
+  RawServer origin(4096);
+  Stage stage;
+  Moves(stage, Member("origin", origin.port));
+  End& client = stage.Client(Set(kKey, "c=unsafe,t=acme,d=1900", value));
+  stage.Until([&] { return origin.Accepted(); });
+  CHECK(stage.router.counters().dispatches == 0);
+  origin.Reset();
+  stage.Until([&] { return origin.Accepted() && origin.Got(value); });
+  CHECK(Outcomes(stage, Result::kNoConn) == 1);
+  origin.Say(kWholeHttp);
+  stage.Until([&] { return client.got == kFromOrigin; });
+  CHECK(stage.router.counters().dispatches == 1);
+}
+
+// A kept connection that the server closes in the moment in which it is used again: whether it ran is not
+// known, and what may not be repeated is not.
+TEST_CASE("broken off: an unsafe write on a kept connection that is reset has failed") {
+  RawServer origin;
+  Stage stage(Stage::Says(kMiss));
+  Moves(stage, Member("origin", origin.port));
+  End& reader = stage.Client(kBrokenKeyRead);
+  stage.Until([&] { return origin.Accepted() && origin.Got("\r\n\r\n"); });
+  origin.Say(kWholeHttp);
+  stage.Until([&] { return reader.got == kFromOrigin; });
+  stage.Rest();
+  End& writer = stage.Client(Set("1000", "c=unsafe,t=acme,d=1900", "value"));
+  stage.Until([&] { return origin.Got("value"); });
+  CHECK(stage.router.counters().reused == 1);
+  origin.Reset();
+  stage.Until([&] { return writer.got == "-ERR failed\r\n"; });
+  CHECK(Outcomes(stage, Result::kReset) == 1);
+  CHECK(!origin.Accepted());
+}
+
+TEST_CASE("broken off: a refused connection never ran, whatever the class") {
+  RawServer origin;
+  Stage stage;
+  {
+    RawServer closed;  // its port refuses once it has gone
+    origin.port = closed.port;
+  }
+  Moves(stage, Member("origin", origin.port));
+  CHECK(stage.Ask(Set(kKey, "c=unsafe,t=acme,d=900", "v")).starts_with("-BUSY"));
+  CHECK(Outcomes(stage, Result::kNoConn) == stage.router.counters().flows);
+}
+
+// The system turns some addresses down at once, within the call.
+TEST_CASE("broken off: a connection that cannot even be asked for is one outcome") {
+  Stage stage({}, Stage::Says(kWholeHttp));
+  std::string entry = Member("box-1", 1);
+  entry.replace(entry.find("127.0.0.1:1"), 11, "255.255.255.255:1");
+  Moves(stage, entry);
+  CHECK(stage.Ask(kBrokenKeyRead) == kFromOrigin);
+  CHECK(Outcomes(stage, Result::kNoConn) == 1);
+  CHECK(Outcomes(stage, Result::kGood) == 1);
+  CHECK(stage.router.counters().flows == 2);
+}
+
+}  // namespace
+}  // namespace peatbend::net::test
