--- a/src/pool/pool.cpp
+++ b/src/pool/pool.cpp
@@ -1,5 +1,6 @@
 #include "pool/pool.h"
 
+#include <algorithm>
 #include <stdexcept>
 #include <utility>
 
@@ -14,8 +15,15 @@
 // What the reader may hold beyond a list: other lists and heartbeats that came in the same piece.
 constexpr std::size_t kBesides = 64 * 1024;
 
-// All that a list may take. Beyond that another call is more likely to bring it in time.
-Milliseconds ListTimeout(Milliseconds silence) { return silence + silence / 4; }
+// All that a list may take, at first. Beyond that another call is more likely to bring it in time. But a list
+// that is slow each time has to come at last: each call that ends so is followed by one that is given twice
+// as long.
+constexpr int kMostSilencesOfList = 4;
+Milliseconds ListTimeout(Milliseconds silence, int unfinished) {
+  Milliseconds most = kMostSilencesOfList * silence, timeout = silence + silence / 4;
+  for (int i = 0; i < unfinished && timeout < most; ++i) timeout *= 2;
+  return std::min(timeout, most);
+}
 }  // namespace
 
 Pool::Pool(event_base* base, const std::string& address, const Settings& settings,
@@ -30,7 +38,10 @@
       on_news_(std::move(on_news)),
       dial_(base, [this] { Failed("its connection does not come up"); }),
       silence_(base, [this] { Failed("silent"); }),
-      late_(base, [this] { Failed("a list that does not end"); }) {
+      late_(base, [this] {
+        ++unfinished_lists_;
+        Failed("a list that does not end");
+      }) {
   ReadAddress(address, to_, to_size_);
   known.snapshot = true;
   Hold(known);
@@ -103,7 +114,7 @@
   evbuffer_drain(body, evbuffer_get_length(body));
   if (status == http1::ResponseReader::Status::kDone) return Failed("watch ended");
   std::size_t begun = frames_->begun();
-  if (begun > 0 && !late_.set()) late_.Set(ListTimeout(tuning_.silence));
+  if (begun > 0 && !late_.set()) late_.Set(ListTimeout(tuning_.silence, unfinished_lists_));
   if (begun >= seen_ + kPiece) Alive(begun);
 }
 
@@ -132,6 +143,7 @@
     return false;
   }
   stands_ = true;
+  unfinished_lists_ = 0;
   bool anew = !list.snapshot && list.index < index_;  // versions only grow: discovery has lost its own
   index_ = anew ? 0 : list.index;
   Hold(list);
--- a/src/pool/pool.h
+++ b/src/pool/pool.h
@@ -70,8 +70,9 @@
   Timer dial_, silence_, late_;
   std::optional<http1::ResponseReader> reader_;
   std::optional<ListFrames> frames_;
-  bool stands_ = false;   // the watch, as something has come on it
-  std::size_t seen_ = 0;  // of the list under way, at the last sign of life
+  int unfinished_lists_ = 0;  // calls in a row whose list took too long
+  bool stands_ = false;       // the watch, as something has come on it
+  std::size_t seen_ = 0;      // of the list under way, at the last sign of life
   BuffereventPtr socket_;
 };
 
