--- a/include/peatbend/balancer.h
+++ b/include/peatbend/balancer.h
@@ -78,6 +78,7 @@
   bool aside = false;           // a miss is answered MISS and fetched by the proxy from the origin
   int origin_kind = -1;         // aside: the origin's entry has this kind
   int proxies = 1;              // instances in this tier
+  int index = -1;               // this instance amongst them, from 0; -1: not told
   int zone = 0;                 // where this instance is
   double over_share_worth = 1;  // worth of a request beyond its tenant's share
   bool worth_by_work = false;   // worth is counted per unit of work
--- a/src/lab/scenario_settings.cpp
+++ b/src/lab/scenario_settings.cpp
@@ -41,6 +41,7 @@
                 {"locality", RouterZone(s, router)},
                 {"discovery", "subscribe"},
                 {"replicasOfMe", s.routers},
+                {"index", router},
                 {"overShareWorth", 0.05},
                 {"countedBy", "work"},
                 {"specifics", {{"mode", "aside"}, {"originKind", 1}}},
--- a/src/module/attempts.cpp
+++ b/src/module/attempts.cpp
@@ -22,8 +22,7 @@
   if (!fresh) throw std::invalid_argument("request: id: already held");
   Request& request = at->second;
   request.id = event.id;
-  request.keyed = event.key.has_value();
-  request.key = event.key.value_or(Key{});
+  request.key = event.key;
   request.write = event.write;
   request.cls = event.cls;
   request.arrived = now_;
@@ -45,8 +44,8 @@
   if (Ns(event.remaining) < kTooShort * quickest) return End(request);
   if (set_.aside && request.write) return AskOrigin(request);
   RefreshTable();
-  if (set_.aside && request.keyed && origin_ >= 0) {
-    auto fetch = fetches_.find(request.key);
+  if (set_.aside && request.key && origin_ >= 0) {
+    auto fetch = fetches_.find(*request.key);
     if (fetch != fetches_.end()) return JoinFetch(request, fetch->second);
   }
   ToCache(request);
--- a/src/module/balance.cpp
+++ b/src/module/balance.cpp
@@ -24,8 +24,7 @@
 void Balancer::Brain::RunDue() {
   SubscribeIfDue();
   while (!paced_.empty() && paced_.begin()->first <= now_) {
-    int index = paced_.begin()->second;
-    paced_.erase(paced_.begin());
+    int index = paced_.extract(paced_.begin()).value().second;
     Pump(index);
     PumpLater(index);
   }
--- a/src/module/brain.h
+++ b/src/module/brain.h
@@ -47,8 +47,7 @@
   std::uint64_t tables_built() const { return tables_built_; }
   std::size_t avoided() const;
   bool origin_strained() const {
-    if (origin_ < 0) return false;
-    return !servers_[origin_].queue.empty() || servers_[origin_].limit <= OriginLeast();
+    return origin_ >= 0 && (!servers_[origin_].queue.empty() || servers_[origin_].limit <= OriginLeast());
   }
   void Handle(TimePoint now, const Event& event, std::vector<Action>& actions);
 
@@ -101,19 +100,17 @@
     bool open = true, may_have_run = true;
     bool reached = true;  // false: ended before it came to its server
   };
-  enum class State { kOut, kWaitsForFetch, kQueued };
   struct Request {
     RequestId id{};
-    Key key{};
-    bool keyed = false, write = false;  // names a key; is one
+    std::optional<Key> key;
+    bool write = false;
     int cls = 0;
     std::size_t tenant = 0;
     double value = 1;
     TimePoint arrived{}, deadline{};
-    Duration come_back{};  // over its ration: when it may be within it
-    State state = State::kOut;
+    Duration come_back{};    // over its ration: when it may be within it
     TimePoint wake{};        // held: looked at again at this time
-    int queued_at = -1;      // held: for this server
+    int held_for = -1;       // held: for room at this server, or for another's fetch from it
     bool waited = false;     // held long enough
     bool free_send = false;  // missed: its next send is outside the allowance
     std::vector<Attempt> attempts;
@@ -157,7 +154,7 @@
   // ---- Choice (choice.cpp) -----------------------------------------------------------------------
 
   int Candidate(std::uint64_t hash, std::size_t n) const;
-  double Heat(const Request& request, bool count);
+  double Heat(const Request& request, double count);
   void ToCache(Request& request);
   bool Usable(const Request& request, int index) const;
   double Rate() const { return std::max(0.05, taken_lately_.Now(now_, kRateTime) / Seen()); }
@@ -172,6 +169,7 @@
   void Eject(Server& server);
   void On(const TrialEvent& event);
   double ColdSends(const Server& server) const;
+  bool ColdTurn(const Server& server, double due, double saved) const;
   void Observe(Server& server, const OutcomeEvent& event);
   void Cut(Server& server, double by);
   void RefreshLatency(const Server& of);
@@ -193,10 +191,7 @@
     return server.in_flight < std::max(1.0, server.limit * Warmth(server)) && now_ >= server.not_before;
   }
 
-  Latency ZoneOf(const Server& server) const {
-    auto at = zones_.find(server.zone);
-    return at == zones_.end() ? Latency{} : at->second;
-  }
+  const Latency& ZoneOf(const Server& server) const { return zones_.at(server.zone); }
 
   // ---- Requests held for a server (holding.cpp) --------------------------------------------------
 
@@ -214,8 +209,8 @@
   }
 
   void Unqueue(Request& request) {
-    if (request.state == State::kQueued) servers_[request.queued_at].queue.erase(Rank(request));
-    request.state = State::kOut;
+    if (request.held_for >= 0) servers_[request.held_for].queue.erase(Rank(request));
+    request.held_for = -1;
     request.wake = TimePoint{};
   }
 
@@ -260,7 +255,6 @@
     auto at = requests_.find(event.id);
     if (at == requests_.end()) return;
     at->second.streaming = true;
-    at->second.wake = TimePoint{};
   }
 
   void On(const GoneEvent& event) {
@@ -293,6 +287,7 @@
 
   Settings set_;
   std::uint64_t random_;
+  std::uint64_t place_ = set_.index < 0 ? Mix(~random_) : static_cast<std::uint64_t>(set_.index);
   TimePoint now_{}, began_{};
   std::vector<Action>* out_ = nullptr;
 
--- a/src/module/choice.cpp
+++ b/src/module/choice.cpp
@@ -28,14 +28,13 @@
 // The share of this proxy's late traffic that names the key, in average servers' shares. Counts
 // are kept for the heaviest keys only: one place a hash, which the heavier key wins. A proxy with
 // little traffic looks further back: there two sightings among thirty requests tell a hot key.
-double Balancer::Brain::Heat(const Request& request, bool count) {
-  if (!request.keyed || ready_.empty()) return 0;
-  auto hash = static_cast<std::uint32_t>(Mix(static_cast<std::uint64_t>(request.key)));
+double Balancer::Brain::Heat(const Request& request, double count) {
+  if (!request.key || ready_.empty()) return 0;
+  auto hash = static_cast<std::uint32_t>(Mix(static_cast<std::uint64_t>(*request.key)));
   auto& place = heat_[hash % heat_.size()];
   Duration over = std::clamp(Nanos(1e9 * kHeatEvidence / Rate()), kHeatTime, kHeatMost);
-  if (count) traffic_.Add(now_, over, 1);
-  double more = count ? 1 : 0;
-  place.second.Add(now_, over, place.first == hash ? more : -more);
+  traffic_.Add(now_, over, count);
+  place.second.Add(now_, over, place.first == hash ? count : -count);
   if (place.second.count <= 0) {
     place.first = hash;
     place.second.count = 1;
@@ -50,10 +49,10 @@
   RefreshTable();
   if (ready_.empty()) return set_.aside ? AskOrigin(request) : End(request);
   if (asked_ >= 0 && servers_[asked_].asked && Usable(request, asked_)) return SendTo(request, asked_);
-  double heat = Heat(request, request.attempts.empty() && !request.waited);
+  double heat = Heat(request, request.attempts.empty() && !request.waited ? 1 : 0);
   bool hot = heat > kHotShare;
   std::uint64_t id = static_cast<std::uint64_t>(request.id) ^ random_;
-  std::uint64_t hash = Mix(request.keyed ? static_cast<std::uint64_t>(request.key) : id);
+  std::uint64_t hash = Mix(request.key ? static_cast<std::uint64_t>(*request.key) : id);
   std::size_t more = static_cast<std::size_t>(heat / (Sparse() ? kCopyShare : kHotShare));
   std::size_t copies = Sparse() ? (hot ? 2 + more : kMaxCopies) : std::min(kMaxCopies, 3 + more);
   // Many proxies: what is in flight here tells nothing, so a hot key's copy is drawn.
--- a/src/module/health.cpp
+++ b/src/module/health.cpp
@@ -5,6 +5,8 @@
 
 // Cold servers: of the fall multiple, sends over the due part; of a tipping time's sends, at once.
 constexpr double kColdSlack = 0.7, kColdDepth = 0.25;
+constexpr int kColdTurns = 32;         // proxies that begin in turns; those beyond begin at once
+constexpr double kColdFewMore = 12.9;  // used of the sends over N that the rule allows while N is below 30
 // Health: failures in a row that eject; first ejection, doubling; longest; of the fleet out at most (panic
 // threshold), by what was seen here and by the fleet's word.
 constexpr int kStrikesToEject = 4;
@@ -17,15 +19,27 @@
 constexpr double kSmoothing = 0.15;  // of a new latency in the smoothed one; the first count alike
 constexpr Duration kCutApart = std::chrono::milliseconds(100), kFullPause = std::chrono::milliseconds(20);
 
-// Guards a cold server against hot keys: what all proxies send it stays near its part of what a warm
-// server answers, each proxy pacing its own share, and beginning with a drawn part of a send, for
-// all of them may have learned of the start at once. Nothing spills onto it (Candidate). Could keep
-// keys from it for longer than need be where a proxy's traffic has just risen.
+// Guards a cold server against hot keys: what all proxies send it stays near its part of what a warm server
+// answers, each proxy pacing its own share, and beginning with a drawn part of a send, for all of them may
+// have learned of the start at once. Nothing spills onto it (Candidate).
 double Balancer::Brain::ColdSends(const Server& server) const {
   double due = answered_.Now(now_, kRateTime) / Seen() / Ready();
-  double rate = due * Warmth(server) * kColdSlack * std::max(1.0, set_.fall_multiple);
-  double most = std::max(1.0, kColdDepth * rate * Ns(set_.tip_after) / 1e9);
-  return std::min(most, server.cold_sends + rate * Ns(now_ - server.cold_at) / 1e9);
+  double rate = due * Warmth(server) * kColdSlack * std::max(1.0, set_.fall_multiple) / 1e9;
+  double due_in_span = rate * Ns(set_.tip_after);
+  double most = std::max(1.0, kColdDepth * due_in_span);
+  double saved = std::min(most, rate * Ns(now_ - server.started));
+  if (!ColdTurn(server, due_in_span, saved)) return 0;
+  return std::min(most, server.cold_sends + rate * Ns(now_ - server.cold_at));
+}
+
+// Whether this proxy may send to a cold server yet. They begin one after another, in an order that each start
+// has anew, so that what all together may send it in a tipping time keeps to the rule.
+bool Balancer::Brain::ColdTurn(const Server& server, double due, double saved) const {
+  auto start = static_cast<std::uint64_t>(server.started.time_since_epoch().count());
+  auto turn = static_cast<int>((Mix(start) + place_) % static_cast<std::uint64_t>(set_.proxies)) + 1;
+  double all = due * set_.proxies / kColdSlack, root = std::sqrt(all);
+  double most = all + std::max(2 * root + 2, std::min(3 * root + 3, kColdFewMore));
+  return (due + saved) * (turn - std::max(0, set_.proxies - kColdTurns)) <= most;
 }
 
 void Balancer::Brain::Strike(Server& server, int strikes, bool trial) {
@@ -126,10 +140,9 @@
       if (!server.origin || elapsed > kOriginSlow * server.base) Cut(server, 0.7);
       return Strike(server, 1, trial);
     case Result::kNoConn:
-      return Strike(server, 2, trial);
     case Result::kReset:
     case Result::kBad:
-      return Strike(server, 1, trial);
+      return Strike(server, event.result == Result::kNoConn ? 2 : 1, trial);
     case Result::kCancelled:
     case Result::kNeverSent:
       return;
--- a/src/module/holding.cpp
+++ b/src/module/holding.cpp
@@ -28,8 +28,7 @@
   bool cache = !servers_[index].origin && !request.waited;
   Duration home = Scale(set_.classes[request.cls].aim, kHoldHome);
   Hold(request, cache ? std::min(latest, now_ + home) : latest);
-  request.state = State::kQueued;
-  request.queued_at = index;
+  request.held_for = index;
   request.queued = ++sequence_;
   servers_[index].queue.insert(Rank(request));
   PumpLater(index);
@@ -47,10 +46,9 @@
 }
 
 void Balancer::Brain::Requeue(Request& request) {
-  bool origin = request.state == State::kQueued && servers_[request.queued_at].origin;
-  bool fetch = request.state == State::kWaitsForFetch;
+  bool origin = request.held_for >= 0 && servers_[request.held_for].origin;
   Unqueue(request);
-  if (origin || fetch) return End(request);
+  if (origin) return End(request);
   request.waited = true;
   ToCache(request);
 }
--- a/src/module/membership.cpp
+++ b/src/module/membership.cpp
@@ -3,10 +3,10 @@
 
 namespace peatbend {
 
-constexpr Duration kAskApart =
-    std::chrono::milliseconds(4);  // a proxy, between first calls of discovery; then:
-constexpr Duration kResubscribeFirst = std::chrono::milliseconds(400),
-                   kResubscribeMost = std::chrono::seconds(6);
+using namespace std::chrono_literals;
+
+// Calls of discovery: between the first ones, a proxy; again after a failure, first and at most.
+constexpr Duration kAskApart = 4ms, kResubscribeFirst = 400ms, kResubscribeMost = 6s;
 
 void Balancer::Brain::On(const MembershipEvent& event) {
   if (set_.must_subscribe) KeepSubscribed(event.scope);
@@ -52,6 +52,7 @@
   server.listed = entry.listed;
   server.cell = entry.cell;
   server.zone = entry.zone;
+  zones_.try_emplace(entry.zone);
   server.weight = entry.weight;
 }
 
--- a/src/module/origin.cpp
+++ b/src/module/origin.cpp
@@ -27,8 +27,8 @@
 void Balancer::Brain::AskOrigin(Request& request) {
   RefreshTable();
   if (origin_ < 0 || !LegalSend(request, servers_[origin_])) return End(request);
-  if (!request.write && request.keyed && !request.fetching) {
-    auto [at, fresh] = fetches_.try_emplace(request.key);
+  if (!request.write && request.key && !request.fetching) {
+    auto [at, fresh] = fetches_.try_emplace(*request.key);
     if (!fresh) return JoinFetch(request, at->second);
     request.fetching = true;
   }
@@ -40,22 +40,21 @@
   TimePoint latest = HeldUntil(request, servers_[origin_]);
   if (now_ >= latest) return End(request);
   waiting.push_back({request.deadline, request.id});
-  request.state = State::kWaitsForFetch;
+  request.held_for = origin_;
   Hold(request, latest);
 }
 
 // A key's fetch has ended: those that wait read it from the cache or, if it did not come, fetch it.
 void Balancer::Brain::EndFetch(Request& request, bool came) {
-  if (!request.fetching) return;
-  request.fetching = false;
-  auto at = fetches_.find(request.key);
+  if (!std::exchange(request.fetching, false)) return;
+  auto at = fetches_.find(*request.key);
   Waiting waiting = std::move(at->second);
   fetches_.erase(at);
   // If it did not come, who has the most time left fetches it: those with little would each fail in turn.
   std::ranges::stable_sort(waiting, std::ranges::greater(), &Waiting::value_type::first);
   for (auto [deadline, id] : waiting) {
     auto found = requests_.find(id);
-    if (found == requests_.end() || found->second.state != State::kWaitsForFetch) continue;
+    if (found == requests_.end()) continue;
     Unqueue(found->second);
     came ? ToCache(found->second) : AskOrigin(found->second);
   }
--- a/src/module/settings.cpp
+++ b/src/module/settings.cpp
@@ -90,6 +90,7 @@
   if (path == "specifics.mode") s.aside = text == "aside";
   if (path == "specifics.originKind") s.origin_kind = Setting<int>(path, text);
   if (path == "replicasOfMe") s.proxies = Setting<int>(path, text);
+  if (path == "index") s.index = Setting<int>(path, text);
   if (path == "locality") s.zone = Setting<int>(path, text);
   if (path == "overShareWorth") s.over_share_worth = Real(path, text);
   if (path == "countedBy") s.worth_by_work = text == "work";
--- a/tests/net/stage.h
+++ b/tests/net/stage.h
@@ -78,7 +78,7 @@
           peer->ends.emplace_back(peer->base_, socket);
           peer->ends.back().on_read = peer->on_read_;
         },
-        this, LEV_OPT_CLOSE_ON_FREE, 16, reinterpret_cast<sockaddr*>(&any), sizeof any));
+        this, LEV_OPT_CLOSE_ON_FREE, 128, reinterpret_cast<sockaddr*>(&any), sizeof any));
     REQUIRE(listener_ != nullptr);
     socklen_t size = sizeof any;
     getsockname(evconnlistener_get_fd(listener_.get()), reinterpret_cast<sockaddr*>(&any), &size);
