--- a/src/module/membership.cpp
+++ b/src/module/membership.cpp
@@ -1,13 +1,12 @@
 // Membership: what discovery tells of the servers, and being subscribed to it.
-#include <utility>
-
 #include "module/brain.h"
 
 namespace peatbend {
 
-// First calls of discovery: between those of two proxies, and over all of them; then:
-constexpr Duration kAskApart = std::chrono::milliseconds(4), kAskWithin = std::chrono::seconds(2);
-constexpr Duration kPauseFirst = std::chrono::milliseconds(400), kPauseMost = std::chrono::milliseconds(1500);
+using namespace std::chrono_literals;
+
+// Calls of discovery: the first ones lie apart, a proxy, and within; pauses after a failure, first and most.
+constexpr Duration kAskApart = 4ms, kAskWithin = 2s, kPauseFirst = 400ms, kPauseMost = 1500ms;
 
 void Balancer::Brain::On(const MembershipEvent& event) {
   if (set_.must_subscribe) KeepSubscribed(event.scope);
@@ -52,6 +51,7 @@
   server.listed = entry.listed;
   server.cell = entry.cell;
   server.zone = entry.zone;
+  zones_.try_emplace(entry.zone);
   server.weight = entry.weight;
 }
 
