--- /dev/null
+++ b/src/base/other_end.h
@@ -0,0 +1,26 @@
+// What a socket shows of the process at its other end.
+#pragma once
+
+#include <event2/util.h>
+#include <poll.h>
+#include <sys/socket.h>
+
+#include <cerrno>
+
+namespace peatbend::net {
+
+// Whether the other end has closed the connection and all that it sent has been read, or has reset it.
+inline bool EndedAndRead(evutil_socket_t socket) {
+  char byte = 0;
+  ssize_t got = recv(socket, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  bool open = got > 0 || (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR));
+  return !open;
+}
+
+// Whether it has closed or reset the connection, whatever is still to be read.
+inline bool Ended(evutil_socket_t socket) {
+  pollfd end{socket, POLLRDHUP, 0};
+  return poll(&end, 1, 0) > 0 && (end.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+}
+
+}  // namespace peatbend::net
--- a/src/front/client_session.h
+++ b/src/front/client_session.h
@@ -11,6 +11,7 @@
 #include "base/counters.h"
 #include "base/event_handles.h"
 #include "base/log.h"
+#include "base/other_end.h"
 #include "base/tuning.h"
 #include "front/client_command.h"
 #include "front/doors.h"
@@ -93,7 +94,11 @@
     RequestId id{};
     bool transaction = false;
   };
-  static void OnRead(bufferevent*, void* self) { static_cast<ClientSession*>(self)->Read(); }
+  // What came before its end is what a client that has gone has asked for.
+  static void OnRead(bufferevent* socket, void* self) {
+    auto* session = static_cast<ClientSession*>(self);
+    EndedAndRead(bufferevent_getfd(socket)) ? session->Leave() : session->Read();
+  }
   static void OnWritten(bufferevent*, void* self) { static_cast<ClientSession*>(self)->Written(); }
   static void OnEvent(bufferevent*, short what, void* self);
   void Read();
--- a/src/front/read_pause.h
+++ b/src/front/read_pause.h
@@ -1,13 +1,12 @@
 // Leaves a connection unread for a while, and still notices its end.
 #pragma once
 
-#include <poll.h>
-
 #include <chrono>
 #include <functional>
 #include <utility>
 
 #include "base/event_handles.h"
+#include "base/other_end.h"
 
 namespace peatbend::net {
 
@@ -34,8 +33,7 @@
  private:
   static constexpr std::chrono::milliseconds kLookEvery{20};
   void Look() {
-    pollfd end{bufferevent_getfd(socket_), POLLRDHUP, 0};
-    if (poll(&end, 1, 0) <= 0) return timer_.Set(kLookEvery);
+    if (!Ended(bufferevent_getfd(socket_))) return timer_.Set(kLookEvery);
     auto ended = ended_;  // which may destroy this
     ended();
   }
--- a/tests/net/departures_test.cpp
+++ b/tests/net/departures_test.cpp
@@ -67,6 +67,27 @@
   LeavesWhileMuchIsOwed(Leaves::kResets);
 }
 
+// Guards against work for who has gone already: the client left while the router was busy elsewhere, so that
+// its last command and its end are there together.
+void LeavesBehindItsCommand(Leaves how) {
+  Stage stage(Stage::Says(Value("x")));
+  RawClient client(stage.router.port(), Get(kKey, "c=read,t=acme,d=2000"));
+  client.Leave(how);  // nothing of the router has run since it connected
+  stage.Until([&] { return stage.router.counters().clients_closed == 1; });
+  End& other = stage.Client(Get("1000", "c=read,t=acme,d=2000"));
+  stage.Until([&] { return other.got == "$1\r\nx\r\n"; });
+  CHECK(stage.member.Count("OBJ.GET") == 1);
+  CHECK(stage.router.counters().transactions == 1);
+}
+
+TEST_CASE("departure: a command that comes together with its client's close is not sent on") {
+  LeavesBehindItsCommand(Leaves::kCloses);
+}
+
+TEST_CASE("departure: a command that comes together with its client's reset is not sent on") {
+  LeavesBehindItsCommand(Leaves::kResets);
+}
+
 // The memory for large values is taken: of two that come at once the second is not read.
 TEST_CASE("departure: a client that closes while its value waits for memory is noticed") {
   const std::string large = "$" + std::to_string(resp::kMaxBody) + "\r\n";
