--- a/src/front/client_session.h
+++ b/src/front/client_session.h
@@ -11,9 +11,11 @@
 #include "base/counters.h"
 #include "base/event_handles.h"
 #include "base/log.h"
+#include "base/other_end.h"
 #include "base/tuning.h"
 #include "front/client_command.h"
 #include "front/doors.h"
+#include "front/read_pause.h"
 #include "protocol/request.h"
 #include "protocol/resp.h"
 #include "stage/decision.h"
@@ -92,7 +94,11 @@
     RequestId id{};
     bool transaction = false;
   };
-  static void OnRead(bufferevent*, void* self) { static_cast<ClientSession*>(self)->Read(); }
+  // What came before its end is what a client that has gone has asked for.
+  static void OnRead(bufferevent* socket, void* self) {
+    auto* session = static_cast<ClientSession*>(self);
+    EndedAndRead(bufferevent_getfd(socket)) ? session->Leave() : session->Read();
+  }
   static void OnWritten(bufferevent*, void* self) { static_cast<ClientSession*>(self)->Written(); }
   static void OnEvent(bufferevent*, short what, void* self);
   void Read();
@@ -141,6 +147,7 @@
   std::optional<std::uint64_t> client_;  // its address, hashed, once somebody has asked for it
   Booking memory_;  // for answers that have not been taken
   BuffereventPtr socket_;
+  ReadPause read_pause_{socket_.get(), [this] { Leave(); }};
 };
 
 }  // namespace peatbend::net
--- a/src/member/member_connections.cpp
+++ b/src/member/member_connections.cpp
@@ -13,7 +13,7 @@
 
 MemberConnection::MemberConnection(MemberConnections& home, Member& member,
                                    std::unique_ptr<ServerCodec> codec)
-    : home_(home), member_(member), codec_(std::move(codec)), timer_(home.base_, [this] { Break(); }) {
+    : home_(home), member_(member), codec_(std::move(codec)), timer_(home.base_, [this] { OutOfTime(); }) {
   ++home_.sockets_.held;
 }
 
@@ -29,17 +29,34 @@
   int yes = 1;
   setsockopt(bufferevent_getfd(socket_.get()), IPPROTO_TCP, TCP_NODELAY, &yes, sizeof yes);
   bufferevent_enable(socket_.get(), EV_READ | EV_WRITE);
-  timer_.Set(timeout);
+  up_by_ = home_.clock_.Now() + timeout;
   return true;
 }
 
-void MemberConnection::Begin(Attempt& attempt, const Request& request, Duration limit) {
+void MemberConnection::Begin(Attempt& attempt, const Request& request, AttemptTimes times) {
   attempt_ = &attempt;
-  dispatched_ = began_ = paused_ = false;
-  if (connected_) timer_.Stop();
-  if (!connected_) return codec_->Encode(request, limit, bufferevent_get_output(socket_.get()));
+  request_ = &request;
+  deadline_ = times.deadline;
+  begun_ = dispatched_ = began_ = paused_ = false;
+  begin_by_ = times.begin_by;
+  if (!connected_) return ArmDialTimer();
+  timer_.Stop();
+  Write();
+}
+
+void MemberConnection::BeginBy(TimePoint latest) {
+  if (connected_ || latest >= begin_by_) return;
+  begin_by_ = latest;
+  ArmDialTimer();
+}
+
+void MemberConnection::ArmDialTimer() { timer_.Set(std::min(up_by_, begin_by_) - home_.clock_.Now()); }
+
+// Encoded now, not when the dial began: what the server is told of the time is what is left.
+void MemberConnection::Write() {
+  begun_ = true;
   BufferPtr text = NewBuffer();
-  codec_->Encode(request, limit, text.get());
+  codec_->Encode(*request_, deadline_ - home_.clock_.Now(), text.get());
   if (WriteNow(socket_.get(), text.get())) Written();
 }
 
@@ -57,7 +74,7 @@
 }
 
 bool MemberConnection::written() const {
-  return connected_ && evbuffer_get_length(bufferevent_get_output(socket_.get())) == 0;
+  return begun_ && evbuffer_get_length(bufferevent_get_output(socket_.get())) == 0;
 }
 
 void MemberConnection::Abandon() {
@@ -66,8 +83,8 @@
 }
 
 void MemberConnection::Read() {
-  Written();                  // an answer may be read before the loop tells of the write
-  if (attempt_ == nullptr) {  // nobody asked
+  Written();                             // an answer may be read before the loop tells of the write
+  if (attempt_ == nullptr || !begun_) {  // nobody asked
     ++home_.counters_.closed_as_stray;
     return Break();
   }
@@ -124,9 +141,11 @@
 
 void MemberConnection::Happened(short what) {
   if ((what & BEV_EVENT_CONNECTED) != 0) {
+    TimePoint latest = std::min(begin_by_, deadline_);
+    if (home_.clock_.Now() > latest) return OutOfTime();  // the loop has not got round to the timer
     connected_ = true;
     timer_.Stop();
-    return;
+    return Write();
   }
   if ((what & BEV_EVENT_EOF) != 0 && attempt_ != nullptr) {
     if (auto reply = codec_->ReadAtEnd()) return Finish(std::move(*reply), false);
@@ -134,7 +153,16 @@
   Break();
 }
 
-// The connection did not come up in time, broke or has stood idle long enough.
+// The connection did not come up in time, or has stood idle long enough. One that is too late for its attempt
+// alone is no failure to connect: the module counts those against the server.
+void MemberConnection::OutOfTime() {
+  bool dialling = attempt_ != nullptr && !begun_;
+  if (!dialling || begin_by_ > up_by_) return Break();
+  Attempt* attempt = std::exchange(attempt_, nullptr);
+  home_.Close(*this);
+  attempt->TooLate();
+}
+
 void MemberConnection::Break() {
   bool sent = attempt_ != nullptr && written();
   Attempt* attempt = std::exchange(attempt_, nullptr);
@@ -161,6 +189,7 @@
     Member& member = members_[entry.entry.id.name];
     member.name = entry.entry.id.name;
     member.gone = entry.entry.listed == Listed::kGone;
+    member.draining = entry.entry.listed == Listed::kDraining;
     member.origin = settings_.aside && entry.entry.kind == settings_.origin_kind;
     bool moved = !entry.address.empty() && entry.address != member.address;
     if (moved) {
@@ -174,22 +203,36 @@
       Outdate(member);
     member.started = std::max(member.started, entry.entry.started);
   }
+  for (auto& [name, member] : members_) BoundBegins(member);
   for (auto at = members_.begin(); at != members_.end();) DropIfGone((at++)->second);
 }
 
+// What still dials when its member is told to drain or gone would be written whenever the connection came up:
+// the customer's dial timeout may be longer than the grace. Counted from the first time that it is told.
+void MemberConnections::BoundBegins(Member& member) {
+  if (!member.gone && !member.draining) {
+    member.begin_until = TimePoint::max();
+    return;
+  }
+  if (member.begin_until != TimePoint::max()) return;
+  member.begin_until = clock_.Now() + settings_.drain_grace;
+  for (auto& connection : member.connections) connection->BeginBy(member.begin_until);
+}
+
 void MemberConnections::DropIfGone(Member& member) {
   if (!member.gone) return;
   CloseIdle(member.name);
   if (member.connections.empty()) members_.erase(std::string(member.name));
 }
 
-MemberConnection* MemberConnections::Begin(Attempt& attempt, const Request& request, Duration limit) {
+MemberConnection* MemberConnections::Begin(Attempt& attempt, const Request& request, AttemptTimes times) {
   auto found = members_.find(attempt.member());
   if (found == members_.end() || found->second.to_size == 0) {
     log_.Line("member unknown", attempt.member());
     return nullptr;
   }
   Member& member = found->second;
+  if (clock_.Now() > member.begin_until) return nullptr;
   MemberConnection* connection = nullptr;
   ++counters_.flows;
   if (member.origin) ++counters_.flows_to_origin;
@@ -214,7 +257,8 @@
       return nullptr;
     }
   }
-  connection->Begin(attempt, request, limit);
+  times.begin_by = std::min(times.begin_by, member.begin_until);
+  connection->Begin(attempt, request, times);
   return connection;
 }
 
--- a/src/module/attempts.cpp
+++ b/src/module/attempts.cpp
@@ -12,6 +12,7 @@
 constexpr double kTenantSlack = 1.3;  // of a tenant's even part that counts as within its share
 // Paced sends to the origin at once; of the aim, a latency not yet seen.
 constexpr double kOriginBurst = 3, kFirstLatency = 0.2;
+constexpr double kTooShort = 0.25;  // of the quickest answer of its class, a request's time that is in vain
 
 void Balancer::Brain::On(const RequestEvent& event) {
   bool known = event.cls >= 0 && event.cls < static_cast<int>(set_.classes.size());
@@ -21,8 +22,7 @@
   if (!fresh) throw std::invalid_argument("request: id: already held");
   Request& request = at->second;
   request.id = event.id;
-  request.keyed = event.key.has_value();
-  request.key = event.key.value_or(Key{});
+  request.key = event.key;
   request.write = event.write;
   request.cls = event.cls;
   request.arrived = now_;
@@ -39,10 +39,13 @@
   budget = std::min(RetryMost(), budget + kRetryPerRequest);
   taken_lately_.Add(now_, kRateTime, 1);
   if (set_.attempt_window) taken_.push_back(now_);
+  // In time that no server has come near to answering in, it would only cost a server its work.
+  double quickest = quickest_[event.cls].Now(now_, kRateTime);
+  if (Ns(event.remaining) < kTooShort * quickest) return End(request);
   if (set_.aside && request.write) return AskOrigin(request);
   RefreshTable();
-  if (set_.aside && request.keyed && origin_ >= 0) {
-    auto fetch = fetches_.find(request.key);
+  if (set_.aside && request.key && origin_ >= 0) {
+    auto fetch = fetches_.find(*request.key);
     if (fetch != fetches_.end()) return JoinFetch(request, fetch->second);
   }
   ToCache(request);
@@ -70,8 +73,8 @@
 void Balancer::Brain::SendTo(Request& request, int index) {
   Server& server = servers_[index];
   if (!LegalSend(request, server)) return End(request);
-  request.state = State::kOut;
-  request.wake = TimePoint{};
+  Duration begin_within = LatestStart(request) - now_;  // by the attempts before this one
+  out_->emplace_back(Send{request.id, ServerId{server.id}, request.deadline - now_, begin_within});
   int number = static_cast<int>(request.attempts.size());
   bool counts = set_.attempt_window && number > 0 && !request.free_send;
   if (counts) further_.push_back({now_, {request.id, number}});
@@ -92,7 +95,6 @@
     server.cold_at = now_;
   }
   PumpLater(index);
-  out_->emplace_back(Send{request.id, ServerId{server.id}, request.deadline - now_});
 }
 
 // The final answer: refused where that is true, else failed. Nothing is sent after it.
@@ -137,28 +139,24 @@
   attempt.open = false;
   attempt.reached = event.result != Result::kNoConn && event.result != Result::kNeverSent;
   attempt.may_have_run = attempt.reached && event.result != Result::kFull && event.result != Result::kMiss;
+  bool whole = event.result == Result::kGood && !request.streaming;  // a stream may outlast any deadline
+  if (whole) quickest_[request.cls].Lower(now_, Ns(event.elapsed));
   bool at_origin = index >= 0 && servers_[index].origin;
   if (event.done) return Drop(request, event.result == Result::kGood && at_origin);
   request.free_send = event.result == Result::kMiss;
   if (!MayGoOn(request)) return End(request);
   if (event.result == Result::kMiss) return AskOrigin(request);
-  if (event.result == Result::kFull && !at_origin) return AfterFull(request, index);
-  bool free = !attempt.may_have_run && event.attempt == 0;
+  // Turned away by a full server: waits for it a little, once; then an alternate, or a refusal. Guards
+  // against storms of cheap retries that spread a full server's keys over the fleet.
+  bool full = event.result == Result::kFull && !at_origin;
+  if (full && Sparse() && set_.aside) return AskOrigin(request);
+  bool may_wait =
+      !Sparse() && !request.waited && set_.try_limit - static_cast<int>(request.attempts.size()) > 2;
+  if (full && may_wait) return Enqueue(request, index);
+  bool free = !full && !attempt.may_have_run && event.attempt == 0;
   if (!free && !Repeat(request)) return End(request);
   if (at_origin) return AskOrigin(request);
-  request.avoid.push_back(index);
-  ToCache(request);
-}
-
-// Turned away by a full server: waits for it a little, once; then an alternate, or a refusal.
-// Guards against storms of cheap retries that spread a full server's keys over the fleet.
-void Balancer::Brain::AfterFull(Request& request, int index) {
-  if (!Sparse() && !request.waited && set_.try_limit - static_cast<int>(request.attempts.size()) > 2) {
-    return Enqueue(request, index);
-  }
-  if (Sparse() && set_.aside) return AskOrigin(request);
-  if (!Repeat(request)) return End(request);
-  request.waited = true;
+  request.waited = request.waited || full;
   request.avoid.push_back(index);
   ToCache(request);
 }
--- a/src/module/brain.h
+++ b/src/module/brain.h
@@ -11,6 +11,7 @@
 #include <queue>
 #include <set>
 #include <unordered_map>
+#include <utility>
 
 #include "peatbend/balancer.h"
 
@@ -46,15 +47,16 @@
   std::uint64_t tables_built() const { return tables_built_; }
   std::size_t avoided() const;
   bool origin_strained() const {
-    if (origin_ < 0) return false;
-    return !servers_[origin_].queue.empty() || servers_[origin_].limit <= OriginLeast();
+    return origin_ >= 0 && (!servers_[origin_].queue.empty() || servers_[origin_].limit <= OriginLeast());
   }
   void Handle(TimePoint now, const Event& event, std::vector<Action>& actions);
 
  private:
   // Writes first, then worth, then age.
   using QueueKey = std::tuple<bool, double, std::uint64_t, RequestId>;
-  struct Fading {  // a count that fades exponentially over a time
+  using Waiting =
+      std::vector<std::pair<TimePoint, RequestId>>;  // for another's fetch: deadlines and requests
+  struct Fading {                                    // a count that fades exponentially over a time
     double count = 0;
     TimePoint at{};
     double Now(TimePoint now, Duration over) const {
@@ -64,6 +66,10 @@
       count = Now(now, over) + value;
       at = now;
     }
+    void Lower(TimePoint now, double value) {  // to the least value so far, which fades from now on
+      count = at == TimePoint{} ? value : std::min(count, value);
+      at = now;
+    }
   };
   struct Server {
     std::string id;
@@ -76,7 +82,7 @@
     int in_flight = 0;               // also what went to the process before and is still out
     double limit = 1, latency = 0;   // in-flight bound; smoothed, ns, 0: none yet
     double base = 0;                 // origin: the least that the latency has been, creeping up
-    int answers = 0;                 // origin: so many
+    int answers = 0;                 // so many
     TimePoint cut{};                 // when the bound was last cut
     int strikes = 0, ejections = 0;  // failures in a row; in a row
     bool ejected = false, trial_out = false;
@@ -94,19 +100,17 @@
     bool open = true, may_have_run = true;
     bool reached = true;  // false: ended before it came to its server
   };
-  enum class State { kOut, kWaitsForFetch, kQueued };
   struct Request {
     RequestId id{};
-    Key key{};
-    bool keyed = false, write = false;  // names a key; is one
+    std::optional<Key> key;
+    bool write = false;
     int cls = 0;
     std::size_t tenant = 0;
     double value = 1;
     TimePoint arrived{}, deadline{};
-    Duration come_back{};  // over its ration: when it may be within it
-    State state = State::kOut;
+    Duration come_back{};    // over its ration: when it may be within it
     TimePoint wake{};        // held: looked at again at this time
-    int queued_at = -1;      // held: for this server
+    int held_for = -1;       // held: for room at this server, or for another's fetch from it
     bool waited = false;     // held long enough
     bool free_send = false;  // missed: its next send is outside the allowance
     std::vector<Attempt> attempts;
@@ -151,7 +155,7 @@
   // ---- Choice (choice.cpp) -----------------------------------------------------------------------
 
   int Candidate(std::uint64_t hash, std::size_t n) const;
-  double Heat(const Request& request, bool count);
+  double Heat(const Request& request, double count);
   void ToCache(Request& request);
   bool Usable(const Request& request, int index) const;
   double Rate() const { return std::max(0.05, taken_lately_.Now(now_, kRateTime) / Seen()); }
@@ -161,13 +165,13 @@
 
   // ---- Health, cold servers and in-flight bounds (health.cpp) ------------------------------------
 
-  void Strike(Server& server, int strikes);
+  void Strike(Server& server, int strikes, bool trial);
   bool MayEject(double most) const;
   void Eject(Server& server);
   void On(const TrialEvent& event);
   double ColdSends(const Server& server) const;
+  bool ColdTurn(const Server& server, double due, double saved) const;
   void Observe(Server& server, const OutcomeEvent& event);
-  double LatencyPart(const Server& server) const;
   void Cut(Server& server, double by);
   void RefreshLatency(const Server& of);
   double Ready() const { return static_cast<double>(ready_.size()); }
@@ -175,10 +179,11 @@
   double OriginLeast() const { return std::min(kOriginFewLeast, kOriginLeast / set_.proxies); }
   double LeastLimit() const { return std::min(1.0, kLeastLimit / set_.proxies); }
 
-  // The part of its capacity that a server has for certain: the worst-case warm-up, a straight line
-  // from the start capacity to warm_after. It is the same at every proxy.
+  // The part of its capacity that a cache server has for certain: the worst-case warm-up, a straight line
+  // from the start capacity to warm_after. It is the same at every proxy. The origin has no warm-up.
   double Warmth(const Server& server) const {
-    if (server.started == TimePoint{} || now_ - server.started >= set_.warm_after) return 1;
+    bool long_ago = server.started == TimePoint{} || now_ - server.started >= set_.warm_after;
+    if (server.origin || long_ago) return 1;
     double share = std::max(0.0, Ns(now_ - server.started) / Ns(set_.warm_after));
     return set_.start_capacity + (1 - set_.start_capacity) * share;
   }
@@ -187,10 +192,7 @@
     return server.in_flight < std::max(1.0, server.limit * Warmth(server)) && now_ >= server.not_before;
   }
 
-  Latency ZoneOf(const Server& server) const {
-    auto at = zones_.find(server.zone);
-    return at == zones_.end() ? Latency{} : at->second;
-  }
+  const Latency& ZoneOf(const Server& server) const { return zones_.at(server.zone); }
 
   // ---- Requests held for a server (holding.cpp) --------------------------------------------------
 
@@ -208,8 +210,8 @@
   }
 
   void Unqueue(Request& request) {
-    if (request.state == State::kQueued) servers_[request.queued_at].queue.erase(Rank(request));
-    request.state = State::kOut;
+    if (request.held_for >= 0) servers_[request.held_for].queue.erase(Rank(request));
+    request.held_for = -1;
     request.wake = TimePoint{};
   }
 
@@ -222,13 +224,14 @@
 
   void ObserveOrigin(Server& origin, bool was_full);
   void AskOrigin(Request& request);
-  void JoinFetch(Request& request, std::vector<RequestId>& waiting);
+  void JoinFetch(Request& request, Waiting& waiting);
   void EndFetch(Request& request, bool came);
 
   // ---- What may be sent and said (gate.cpp) ------------------------------------------------------
 
   void PruneAllowance();
   bool Allowed(const Request& request) const;
+  TimePoint LatestStart(const Request& request) const;
   bool MayGoOn(const Request& request) const;
   bool LegalSend(const Request& request, const Server& server) const;
   bool LegalRefuse(const Request& request) const;
@@ -242,7 +245,6 @@
   void SendTo(Request& request, int index);
   void End(Request& request);
   void Settle(Request& request, const OutcomeEvent& event, int index);
-  void AfterFull(Request& request, int index);
   void ReleaseIdle(const Server& server);
   void Drop(Request& request, bool came) {
     Unqueue(request);
@@ -254,7 +256,6 @@
     auto at = requests_.find(event.id);
     if (at == requests_.end()) return;
     at->second.streaming = true;
-    at->second.wake = TimePoint{};
   }
 
   void On(const GoneEvent& event) {
@@ -287,6 +288,7 @@
 
   Settings set_;
   std::uint64_t random_;
+  std::uint64_t place_ = set_.index < 0 ? Mix(~random_) : static_cast<std::uint64_t>(set_.index);
   TimePoint now_{}, began_{};
   std::vector<Action>* out_ = nullptr;
 
@@ -298,16 +300,16 @@
   bool stale_ = true, lost_ = false;               // the table; discovery, as last heard of
 
   std::unordered_map<RequestId, Request> requests_;           // looked up, never walked
-  std::map<Key, std::vector<RequestId>> fetches_;             // keys being fetched, and who waits for them
+  std::map<Key, Waiting> fetches_;                            // keys being fetched, and who waits for them
   std::vector<std::pair<std::uint32_t, Fading>> heat_{1024};  // of the heaviest keys
   Fading traffic_, taken_lately_, answered_;
-  std::deque<TimePoint> taken_;                                          // requests in the allowance's window
+  std::vector<Fading> quickest_{set_.classes.size()};  // answer of a class, ns; fades while none comes
+  std::deque<TimePoint> taken_;                        // requests in the allowance's window
   std::deque<std::pair<TimePoint, std::pair<RequestId, int>>> further_;  // and further attempts
   std::vector<Fading> tenants_{set_.tenants.size()};
   std::vector<int> tried_;
   std::uint64_t sequence_ = 0, mark_ = 0, tables_built_ = 0;
-  std::vector<double> retry_budgets_ =
-      std::vector<double>(tenants_.size() + 1, RetryMost());  // last: unnamed
+  std::vector<double> retry_budgets_ = std::vector(tenants_.size() + 1, RetryMost());  // last: unnamed
   std::map<int, Latency> zones_;
 
   using Due = std::pair<TimePoint, RequestId>;
--- a/src/module/health.cpp
+++ b/src/module/health.cpp
@@ -5,6 +5,8 @@
 
 // Cold servers: of the fall multiple, sends over the due part; of a tipping time's sends, at once.
 constexpr double kColdSlack = 0.7, kColdDepth = 0.25;
+constexpr int kColdTurns = 32;         // proxies that begin in turns; those beyond begin at once
+constexpr double kColdFewMore = 12.9;  // used of the sends over N that the rule allows while N is below 30
 // Health: failures in a row that eject; first ejection, doubling; longest; of the fleet out at most (panic
 // threshold), by what was seen here and by the fleet's word.
 constexpr int kStrikesToEject = 4;
@@ -14,24 +16,36 @@
 // In-flight bound: most here. Cut: by a queue told over, a smoothed latency over the unloaded one; apart;
 // least pause after full.
 constexpr double kMostLimit = 64, kQueueMost = 1, kSlowMultiple = 4;
-constexpr double kSmoothing = 0.15;  // of a new latency in the smoothed one
+constexpr double kSmoothing = 0.15;  // of a new latency in the smoothed one; the first count alike
 constexpr Duration kCutApart = std::chrono::milliseconds(100), kFullPause = std::chrono::milliseconds(20);
 
-// Guards a cold server against hot keys: what all proxies send it stays near its part of what a warm
-// server answers, each proxy pacing its own share, and beginning with a drawn part of a send, for
-// all of them may have learned of the start at once. Nothing spills onto it (Candidate). Could keep
-// keys from it for longer than need be where a proxy's traffic has just risen.
+// Guards a cold server against hot keys: what all proxies send it stays near its part of what a warm server
+// answers, each proxy pacing its own share, and beginning with a drawn part of a send, for all of them may
+// have learned of the start at once. Nothing spills onto it (Candidate).
 double Balancer::Brain::ColdSends(const Server& server) const {
   double due = answered_.Now(now_, kRateTime) / Seen() / Ready();
-  double rate = due * Warmth(server) * kColdSlack * std::max(1.0, set_.fall_multiple);
-  double most = std::max(1.0, kColdDepth * rate * Ns(set_.tip_after) / 1e9);
-  return std::min(most, server.cold_sends + rate * Ns(now_ - server.cold_at) / 1e9);
+  double rate = due * Warmth(server) * kColdSlack * std::max(1.0, set_.fall_multiple) / 1e9;
+  double due_in_span = rate * Ns(set_.tip_after);
+  double most = std::max(1.0, kColdDepth * due_in_span);
+  double saved = std::min(most, rate * Ns(now_ - server.started));
+  if (!ColdTurn(server, due_in_span, saved)) return 0;
+  return std::min(most, server.cold_sends + rate * Ns(now_ - server.cold_at));
 }
 
-void Balancer::Brain::Strike(Server& server, int strikes) {
+// Whether this proxy may send to a cold server yet. They begin one after another, in an order that each start
+// has anew, so that what all together may send it in a tipping time keeps to the rule.
+bool Balancer::Brain::ColdTurn(const Server& server, double due, double saved) const {
+  auto start = static_cast<std::uint64_t>(server.started.time_since_epoch().count());
+  auto turn = static_cast<int>((Mix(start) + place_) % static_cast<std::uint64_t>(set_.proxies)) + 1;
+  double all = due * set_.proxies / kColdSlack, root = std::sqrt(all);
+  double most = all + std::max(2 * root + 2, std::min(3 * root + 3, kColdFewMore));
+  return (due + saved) * (turn - std::max(0, set_.proxies - kColdTurns)) <= most;
+}
+
+void Balancer::Brain::Strike(Server& server, int strikes, bool trial) {
   server.strikes += strikes;
   if (server.origin) return;
-  if (server.ejected ? server.trial_out : server.strikes >= kStrikesToEject && MayEject(kEjectShare))
+  if (server.ejected ? trial : server.strikes >= kStrikesToEject && MayEject(kEjectShare))
     return Eject(server);
   if (server.asked) TellTrial(server, false);
 }
@@ -45,7 +59,6 @@
 void Balancer::Brain::Eject(Server& server) {
   if (!server.ejected) Say("ejected " + server.id);
   server.ejected = true;
-  server.trial_out = false;
   Duration out = kEjectFor * (1 << std::min(server.ejections, 6));
   server.trial_at = now_ + Scale(std::min(out, kEjectAtMost), 0.8 + 0.4 * Unit(Random()));
   ++server.ejections;
@@ -96,17 +109,17 @@
 
 void Balancer::Brain::Observe(Server& server, const OutcomeEvent& event) {
   bool was_full = server.in_flight + 1 >= server.limit;
+  bool trial = std::exchange(server.trial_out, false);
   double elapsed = Ns(event.elapsed);
   switch (event.result) {
     case Result::kGood:
-      if (server.origin) ++server.answers;
-      server.latency += LatencyPart(server) * (elapsed - server.latency);
+      server.latency += std::max(kSmoothing, 1.0 / ++server.answers) * (elapsed - server.latency);
       [[fallthrough]];
     case Result::kMiss:
       if (server.ejected) Say("recovered " + server.id);
       if (server.ejected || server.asked) TellTrial(server, true);
       server.strikes = server.ejections = server.believed = 0;
-      server.ejected = server.trial_out = false;
+      server.ejected = false;
       if (server.origin) return ObserveOrigin(server, was_full);
       answered_.Add(now_, kRateTime, 1);
       RefreshLatency(server);
@@ -119,34 +132,21 @@
       return;
     case Result::kFull:
       server.not_before = now_ + std::max(kFullPause, Nanos(0.5 * ZoneOf(server).usual));
-      Cut(server, 0.7);
-      server.trial_out = false;
-      return;
+      return Cut(server, 0.7);
     case Result::kLate:
       // A client whose time was too short even for an idle server: no sign of how this one does.
-      if (!server.origin && elapsed < kTimeNeeded * ZoneOf(server).unloaded) {
-        server.trial_out = false;
-        return;
-      }
+      if (!server.origin && elapsed < kTimeNeeded * ZoneOf(server).unloaded) return;
       if (server.origin && Sparse()) server.latency += kSmoothing * (elapsed - server.latency);
       if (!server.origin || elapsed > kOriginSlow * server.base) Cut(server, 0.7);
-      return Strike(server, 1);
+      return Strike(server, 1, trial);
     case Result::kNoConn:
-      return Strike(server, 2);
     case Result::kReset:
     case Result::kBad:
-      return Strike(server, 1);
+      return Strike(server, event.result == Result::kNoConn ? 2 : 1, trial);
     case Result::kCancelled:
     case Result::kNeverSent:
-      server.trial_out = false;
       return;
   }
 }
 
-// Of a new latency in the smoothed one: the origin's first answers all count alike.
-double Balancer::Brain::LatencyPart(const Server& server) const {
-  if (server.latency <= 0) return 1;
-  return server.origin ? std::max(kSmoothing, 1.0 / server.answers) : kSmoothing;
-}
-
 }  // namespace peatbend
--- a/src/stage/decision.cpp
+++ b/src/stage/decision.cpp
@@ -187,7 +187,10 @@
   ForgetIfOver(left.id);
 }
 
-void Decision::On(Began& began) { Ask(StreamStartEvent{began.id, began.attempt}); }
+void Decision::On(Began& began) {
+  Ask(StreamStartEvent{began.id, began.attempt});
+  ForgetIfOver(began.id);
+}
 
 void Decision::On(Ended& ended) {
   Transaction* transaction = Find(ended.id);
@@ -228,8 +231,9 @@
 void Decision::On(Permit& permit) {
   Transaction* transaction = Find(permit.id);
   bool wanted = transaction != nullptr && transaction->held >= 0;
-  if (wanted && !transaction->finished() && !transaction->ending && transaction->deadline() > clock_.Now()) {
-    return Start(*transaction, std::exchange(transaction->held, -1), transaction->held_limit);
+  if (wanted && !transaction->closed() && transaction->deadline() > clock_.Now()) {
+    int attempt = std::exchange(transaction->held, -1);
+    return Start(*transaction, attempt, transaction->held_limit, transaction->held_begin_by);
   }
   if (keeping_ != nullptr) keeping_->FlowEnded(permit.id, false);
   if (wanted) NotSent(*transaction);
@@ -261,23 +265,25 @@
   int attempt = static_cast<int>(flows.size());
   flows.push_back(std::make_unique<ServerSideFlow>(*this, base_, clock_, send.id, attempt, send.server.name));
   ++transaction->open_flows;
-  if (transaction->finished() || transaction->ending || transaction->streams() >= 0 ||
-      transaction->deadline() <= clock_.Now() || attempt >= settings_.try_limit) {
+  if (transaction->closed() || transaction->deadline() <= clock_.Now() || attempt >= settings_.try_limit) {
     ++counters_.outcomes[static_cast<std::size_t>(Result::kNeverSent)];
     return NeverSent(send.id, attempt, send.server.name);
   }
-  if (!transaction->covered) return Start(*transaction, attempt, send.give_up_after);
+  TimePoint begin_by = transaction->BeginBy(clock_.Now(), send.begin_within);
+  if (!transaction->covered) return Start(*transaction, attempt, send.give_up_after, begin_by);
   transaction->held = attempt;  // its record is asked first
   transaction->held_limit = send.give_up_after;
+  transaction->held_begin_by = begin_by;
   keeping_->Want(send.id, send.server.name);
 }
 
-void Decision::Start(Transaction& transaction, int attempt, Duration give_up_after) {
+void Decision::Start(Transaction& transaction, int attempt, Duration give_up_after, TimePoint begin_by) {
   Duration left = transaction.deadline() - clock_.Now();
   Duration limit = give_up_after == Duration::zero() ? left : std::min(left, give_up_after);
   if (watching_ != nullptr)
     watching_->Sending(transaction.flows()[static_cast<std::size_t>(attempt)]->member());
-  transaction.flows()[static_cast<std::size_t>(attempt)]->Start(connections_, transaction.request(), limit);
+  auto& flow = *transaction.flows()[static_cast<std::size_t>(attempt)];
+  flow.Start(connections_, transaction.request(), limit, begin_by);
 }
 
 void Decision::NeverSent(RequestId id, int attempt, const std::string& member) {
@@ -299,6 +305,7 @@
 void Decision::End(Transaction& transaction, takeover::End end, Duration come_back) {
   if (!transaction.covered || transaction.finished()) return Tell(transaction, end, come_back);
   transaction.ending = true;
+  transaction.GiveUpUnbegun();
   transaction.come_back = come_back;
   keeping_->Finish(transaction.id(), end, {});
 }
@@ -365,7 +372,12 @@
 
 void Decision::ForgetIfOver(RequestId id) {
   Transaction* transaction = Find(id);
-  if (transaction == nullptr || !transaction->finished()) return;
+  if (transaction == nullptr) return;
+  if (transaction->closed()) {
+    transaction->GiveUpUnbegun();
+    NotSent(*transaction);  // its record says nothing of an attempt whose client has left
+  }
+  if (!transaction->finished()) return;
   if (transaction->work > 0) TellEnd(*transaction);
   auto open = open_ids_.find(transaction->request().id);
   if (open != open_ids_.end() && open->second == id) open_ids_.erase(open);
--- a/src/stage/server_side_flow.cpp
+++ b/src/stage/server_side_flow.cpp
@@ -11,11 +11,12 @@
   if (connection_ != nullptr) connection_->Abandon();
 }
 
-void ServerSideFlow::Start(MemberConnections& connections, const Request& request, Duration limit) {
+void ServerSideFlow::Start(MemberConnections& connections, const Request& request, Duration limit,
+                           TimePoint begin_by) {
   started_ = clock_.Now();
-  if (limit <= Duration::zero()) return EndWith(Result::kLate);
+  if (limit <= Duration::zero() || started_ > begin_by) return EndWith(Result::kNeverSent);
   connections_ = &connections;
-  connection_ = connections.Begin(*this, request, limit);
+  connection_ = connections.Begin(*this, request, {.deadline = started_ + limit, .begin_by = begin_by});
   if (connection_ == nullptr) return EndWith(Result::kNoConn);
   limit_.Set(limit);
 }
@@ -51,10 +52,13 @@
 
 void ServerSideFlow::Cancel() {
   if (ended_) return;
+  Result result = dialling() ? Result::kNeverSent : Result::kCancelled;
   LeaveConnection();
-  EndWith(Result::kCancelled);
+  EndWith(result);
 }
 
+bool ServerSideFlow::dialling() const { return connection_ != nullptr && !connection_->begun(); }
+
 // What was not written whole by now never ran: to the module that is a connection that did not come up. Where
 // a written one got no word, the member's idle connections may be as dead: closed, so that the next flow
 // dials and is told soon. Guards against members lost without a word, which TCP does not tell.
