--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -43,6 +43,8 @@
   EXPECT_FALSE(settings.must_subscribe);
   EXPECT_DOUBLE_EQ(settings.start_capacity, 0.3);
   EXPECT_FALSE(settings.attempt_window.has_value());
+  EXPECT_EQ(settings.index, -1);
+  EXPECT_EQ(ParseSettings("index=7 replicasOfMe=30").index, 7);
   settings = ParseSettings(
       "rules.countedOver=10000000000 rules.freeResends=1 rules.extraPerRequest=0.1 "
       "tariffs.connection=0.05 tariffs.handshake=0.03 ceilings.keepalive=5000000000");
