--- a/tests/net/broken_answers_test.cpp
+++ b/tests/net/broken_answers_test.cpp
@@ -105,6 +105,35 @@
   CHECK(!origin.Accepted());
 }
 
+// Guards against a second answer that comes when the connection has long rested and carries another request:
+// to the router it is that request's. One that came at once has told what sort of server this is.
+TEST_CASE("said twice: a server that has answered twice gives no late second answer to another request") {
+  Stage stage;
+  auto sends = [&](const std::string& key) -> End& { return stage.Client(Get(key, "c=read,t=acme,d=1900")); };
+  auto holder = [&](const std::string& key) -> End* {
+    for (End& end : stage.member.ends) {
+      if (end.got.find("\r\n" + key + "\r\n") != std::string::npos) return &end;
+    }
+    return nullptr;
+  };
+  End& first = sends("1000");
+  stage.Until([&] { return holder("1000") != nullptr; });
+  holder("1000")->Say(Value("one") + Value("one"));
+  stage.Until([&] { return first.got == "$3\r\none\r\n"; });
+  End& second = sends("2000");
+  stage.Until([&] { return holder("2000") != nullptr; });
+  End& late = *holder("2000");
+  late.Say(Value("two"));
+  stage.Until([&] { return second.got == "$3\r\ntwo\r\n"; });
+  stage.Rest();
+  End& third = sends("3000");
+  stage.Until([&] { return holder("3000") != nullptr; });
+  if (!late.closed) late.Say(Value("two"));  // the second answer, after the connection has rested
+  holder("3000")->Say(Value("three"));
+  stage.Until([&] { return third.got.ends_with("\r\n"); });
+  CHECK(third.got == "$5\r\nthree\r\n");
+}
+
 TEST_CASE("broken off: a refused connection never ran, whatever the class") {
   RawServer origin;
   Stage stage;
