--- a/tests/net/broken_answers_test.cpp
+++ b/tests/net/broken_answers_test.cpp
@@ -2,6 +2,7 @@
 #include <functional>
 #include <string>
 
+#include "net/flows_stage.h"
 #include "net/raw_server.h"
 #include "net/rules_stage.h"
 
@@ -146,6 +147,21 @@
   CHECK(Outcomes(stage, Result::kNoConn) == stage.router.counters().flows);
 }
 
+// The system has accepted the connection, and the server is killed before anything was written to it.
+TEST_CASE("broken off: a connection reset before the request is written is an attempt that never ran") {
+  RawServer server;
+  Flows flows;
+  flows.Serve(server.port);
+  flows.Start();
+  REQUIRE(server.Accepted());  // within the call on loopback; the loop has not run since
+  server.Reset();
+  flows.UntilItsOutcome();
+  CHECK(flows.outcome == Result::kNoConn);
+  CHECK(flows.counters.dispatches == 0);
+  flows.stage.Rest();
+  CHECK(flows.ends == 1);
+}
+
 // The system turns some addresses down at once, within the call.
 TEST_CASE("broken off: a connection that cannot even be asked for is one outcome") {
   Stage stage({}, Stage::Says(kWholeHttp));
