--- a/src/member/member_connections.cpp
+++ b/src/member/member_connections.cpp
@@ -86,26 +86,18 @@
   Written();                             // an answer may be read before the loop tells of the write
   if (attempt_ == nullptr || !begun_) {  // nobody asked
     ++home_.counters_.closed_as_stray;
-    SaidTooMuch();
     return Break();
   }
   if (paused_) return;
   auto reply = codec_->Read(bufferevent_get_input(socket_.get()));
   if ((!reply || began_) && !PassOn(reply ? reply->value.get() : nullptr)) return;
   if (reply) {
-    bool more = evbuffer_get_length(bufferevent_get_input(socket_.get())) > 0;
-    if (more) SaidTooMuch();
-    Finish(std::move(*reply), codec_->reusable() && written() && !more);
+    bool keep =
+        codec_->reusable() && written() && evbuffer_get_length(bufferevent_get_input(socket_.get())) == 0;
+    Finish(std::move(*reply), keep);
   }
 }
 
-// A member that answers twice may do so again, and some time later: on a connection that is used again by
-// then the second answer would be served to another request. From now on each of its connections carries one.
-void MemberConnection::SaidTooMuch() {
-  if (std::exchange(member_.says_too_much, true)) return;
-  home_.log_.Line("member says too much", member_.name + ": its connections are not used again");
-}
-
 // Passes on what has come of a large value, `last` being the rest of it; false if the connection is gone, or
 // is to wait.
 bool MemberConnection::PassOn(evbuffer* last) {
@@ -207,9 +199,8 @@
     }
     // What stands open leads to another process, or to one that gets nothing new. An older start is a late
     // list's.
-    bool other_process = moved || entry.entry.started > member.started;
-    if (other_process || entry.entry.listed != Listed::kReady) Outdate(member);
-    if (other_process) member.says_too_much = false;
+    if (moved || entry.entry.started > member.started || entry.entry.listed != Listed::kReady)
+      Outdate(member);
     member.started = std::max(member.started, entry.entry.started);
   }
   for (auto& [name, member] : members_) BoundBegins(member);
@@ -275,7 +266,6 @@
 // the last one, noise): they would be read as the answer to the next request. One on which any have come is
 // closed.
 MemberConnection* MemberConnections::TakeIdle(Member& member) {
-  if (member.says_too_much) CloseIdle(member.name);
   TimePoint rested = clock_.Now() - tuning_.settle;
   for (std::size_t i = member.idle.size(); i-- > 0;) {
     MemberConnection* connection = member.idle[i];
@@ -291,11 +281,10 @@
 }
 
 void MemberConnections::Idle(MemberConnection& connection) {
-  Member& member = connection.member_;
-  if (member.gone || member.says_too_much || connection.outdated_) return Close(connection);
+  if (connection.member_.gone || connection.outdated_) return Close(connection);
   Duration idle = settings_.keepalive > Duration::zero() ? settings_.keepalive : Duration(tuning_.keepalive);
   connection.idle_since_ = clock_.Now();
-  member.idle.push_back(&connection);
+  connection.member_.idle.push_back(&connection);
   connection.timer_.Set(
       Duration(static_cast<Duration::rep>(tuning_.idle_share * static_cast<double>(idle.count()))));
 }
--- a/src/member/member_connections.h
+++ b/src/member/member_connections.h
@@ -71,7 +71,6 @@
   void Break();
   void OutOfTime();
   void ArmDialTimer();
-  void SaidTooMuch();
 
   MemberConnections& home_;
   Member& member_;
@@ -97,7 +96,6 @@
   int to_size = 0;
   TimePoint started{};  // its process, as listed
   bool origin = false, gone = false, draining = false;
-  bool says_too_much = false;  // its process has sent bytes that belong to no answer
   TimePoint begin_until = TimePoint::max();  // no attempt begins later: it drains, or has gone
   std::list<std::unique_ptr<MemberConnection>> connections;
   std::vector<MemberConnection*> idle;  // the last used last
