--- /dev/null
+++ b/src/front/answer_queue.cpp
@@ -0,0 +1,99 @@
+#include "front/answer_queue.h"
+
+#include <utility>
+
+#include "front/client_command.h"
+
+namespace peatbend::net {
+
+void AnswerQueue::AddRequest(RequestId id) {
+  Entry& entry = entries_.emplace_back();
+  entry.is_request = true;
+  entry.id = id;
+}
+
+void AnswerQueue::AddAnswer(std::string_view answer) {
+  Entry& entry = entries_.emplace_back();
+  entry.answer = NewBuffer();
+  Append(entry.answer.get(), answer);
+}
+
+void AnswerQueue::Serve(std::uint64_t place, evbuffer* value) {
+  At(place).answer = NewBuffer();
+  AppendServed(At(place).answer.get(), value);
+}
+
+void AnswerQueue::Reject(std::uint64_t place, Duration come_back) {
+  At(place).answer = NewBuffer();
+  AppendRejected(At(place).answer.get(), come_back);
+}
+
+void AnswerQueue::Fail(std::uint64_t place) {
+  At(place).answer = NewBuffer();
+  Append(At(place).answer.get(), "-ERR failed\r\n");
+}
+
+void AnswerQueue::BeginValue(std::uint64_t place, std::size_t length) {
+  Entry& entry = At(place);
+  entry.answer = NewBuffer();
+  entry.value = Entry::Value::kComes;
+  evbuffer_add_printf(entry.answer.get(), "$%zu\r\n", length);
+}
+
+void AnswerQueue::AddPiece(std::uint64_t place, evbuffer* bytes) {
+  evbuffer_add_buffer(At(place).answer.get(), bytes);
+}
+
+void AnswerQueue::EndValue(std::uint64_t place) {
+  At(place).value = Entry::Value::kWhole;
+  Append(At(place).answer.get(), "\r\n");
+}
+
+void AnswerQueue::CutValue(std::uint64_t place) { At(place).value = Entry::Value::kWhole; }
+
+void AnswerQueue::PauseValue(std::uint64_t place) { At(place).value = Entry::Value::kPaused; }
+
+bool AnswerQueue::first_paused() const {
+  return !entries_.empty() && entries_.front().value == Entry::Value::kPaused;
+}
+
+RequestId AnswerQueue::ResumeFirst() {
+  entries_.front().value = Entry::Value::kComes;
+  return entries_.front().id;
+}
+
+BufferPtr AnswerQueue::TakeReady() {
+  BufferPtr out;
+  while (!entries_.empty() && entries_.front().answer) {
+    Entry& entry = entries_.front();
+    bool whole = entry.value == Entry::Value::kWhole;
+    if (!out && whole) {
+      out = std::move(entry.answer);
+    } else {
+      if (!out) out = NewBuffer();
+      evbuffer_add_buffer(out.get(), entry.answer.get());
+    }
+    if (!whole) break;
+    entries_.pop_front();
+    ++first_;
+  }
+  if (out && evbuffer_get_length(out.get()) == 0) out.reset();
+  return out;
+}
+
+std::size_t AnswerQueue::bytes() const {
+  std::size_t size = 0;
+  for (const Entry& entry : entries_) size += entry.answer ? evbuffer_get_length(entry.answer.get()) : 0;
+  return size;
+}
+
+std::vector<RequestId> AnswerQueue::Unanswered() const {
+  std::vector<RequestId> ids;
+  for (const Entry& entry : entries_) {
+    bool answered = entry.answer && entry.value == Entry::Value::kWhole;
+    if (entry.is_request && !answered) ids.push_back(entry.id);
+  }
+  return ids;
+}
+
+}  // namespace peatbend::net
--- a/src/front/client_session.cpp
+++ b/src/front/client_session.cpp
@@ -42,10 +42,7 @@
 
 ClientSession::~ClientSession() {
   home_.Unread(unread_, 0);
-  for (const Owed& owed : owed_) {
-    if (owed.transaction && (!owed.answer || owed.value != Owed::Value::kWhole))
-      decision_.ClientLeft(owed.id);
-  }
+  for (RequestId id : owed_.Unanswered()) decision_.ClientLeft(id);
 }
 
 void ClientSession::Leave() { home_.End(*this); }
@@ -162,17 +159,15 @@
   switch (command.kind) {
     case Kind::kRequest: {
       ++requests_;
-      std::uint64_t place = first_ + owed_.size();
       if (decision_.asks_for_clients()) command.request->client = Client();
-      auto id = decision_.Take(std::move(command.request), *this, place);
+      auto id = decision_.Take(std::move(command.request), *this, owed_.next_place());
       if (!id) {  // two requests under one id could be given each other's answers
         ++counters_.ids_in_use;
         log_.Line("id in use", "a request was answered -ERR");
         Say("-ERR id in use\r\n");
         break;
       }
-      owed_.emplace_back().transaction = true;
-      owed_.back().id = *id;
+      owed_.AddRequest(*id);
       break;
     }
     case Kind::kPing:
@@ -214,88 +209,60 @@
   Say(std::string("-ERR ").append(complaint).append("\r\n"));
 }
 
-void ClientSession::Say(std::string_view answer) {
-  owed_.emplace_back().answer = NewBuffer();
-  Append(owed_.back().answer.get(), answer);
-}
+void ClientSession::Say(std::string_view answer) { owed_.AddAnswer(answer); }
 
 void ClientSession::Served(std::uint64_t place, evbuffer* value) {
-  At(place).answer = NewBuffer();
-  AppendServed(At(place).answer.get(), value);
+  owed_.Serve(place, value);
   Flush();
 }
 
 void ClientSession::Rejected(std::uint64_t place, Duration come_back) {
-  At(place).answer = NewBuffer();
-  AppendRejected(At(place).answer.get(), come_back);
+  owed_.Reject(place, come_back);
   Flush();
 }
 
 void ClientSession::Failed(std::uint64_t place) {
-  At(place).answer = NewBuffer();
-  Append(At(place).answer.get(), "-ERR failed\r\n");
+  owed_.Fail(place);
   Flush();
 }
 
-void ClientSession::Begins(std::uint64_t place, std::size_t length) {
-  Owed& owed = At(place);
-  owed.answer = NewBuffer();
-  owed.value = Owed::Value::kComes;
-  evbuffer_add_printf(owed.answer.get(), "$%zu\r\n", length);
-}
+void ClientSession::Begins(std::uint64_t place, std::size_t length) { owed_.BeginValue(place, length); }
 
 bool ClientSession::Piece(std::uint64_t place, evbuffer* bytes) {
-  Owed& owed = At(place);
-  evbuffer_add_buffer(owed.answer.get(), bytes);
+  owed_.AddPiece(place, bytes);
   Flush();
   if (memory_.size() < std::clamp(home_.memory().free() / 8, kLeastUnsent, kMostUnsent)) return true;
-  owed.value = Owed::Value::kWaits;
+  owed_.PauseValue(place);
   return false;
 }
 
 // A value that is not whole ends the connection; where none of it was written yet, an error can still be
 // told.
 void ClientSession::Ends(std::uint64_t place, bool whole) {
-  Owed& owed = At(place);
-  owed.value = Owed::Value::kWhole;
-  if (!whole && place == first_) {
-    ++counters_.values_cut;
-    return Leave();
-  }
   if (whole) {
-    Append(owed.answer.get(), "\r\n");
+    owed_.EndValue(place);
     return Flush();
   }
+  owed_.CutValue(place);
+  if (owed_.IsFirst(place)) {
+    ++counters_.values_cut;
+    return Leave();
+  }
   Failed(place);
 }
 
 // Bytes of answers that the client has not taken.
 std::size_t ClientSession::Unsent() const {
-  std::size_t size = evbuffer_get_length(bufferevent_get_output(socket_.get()));
-  for (const Owed& owed : owed_) size += owed.answer ? evbuffer_get_length(owed.answer.get()) : 0;
-  return size;
+  return evbuffer_get_length(bufferevent_get_output(socket_.get())) + owed_.bytes();
 }
 
 // Writes the answers that are there, up to the first that is not whole, as one piece.
 void ClientSession::Flush() {
-  BufferPtr out;
-  while (!owed_.empty() && owed_.front().answer) {
-    bool whole = owed_.front().value == Owed::Value::kWhole;
-    if (!out && whole) {
-      out = std::move(owed_.front().answer);
-    } else {
-      if (!out) out = NewBuffer();
-      evbuffer_add_buffer(out.get(), owed_.front().answer.get());
-    }
-    if (!whole) break;
-    owed_.pop_front();
-    ++first_;
-  }
-  if (!out || evbuffer_get_length(out.get()) == 0) return memory_.Set(Unsent());
+  BufferPtr out = owed_.TakeReady();
+  if (!out) return memory_.Set(Unsent());
   quiet_since_ = clock_.Now();
   // Where the session waits to hear that all is written, the bufferevent has to write, for it tells.
-  bool waits = !owed_.empty() && owed_.front().value == Owed::Value::kWaits;
-  bool told = closing_ || waits || home_.doors().rest() != Doors::Rest::kStays ||
+  bool told = closing_ || owed_.first_paused() || home_.doors().rest() != Doors::Rest::kStays ||
               (bufferevent_get_enabled(socket_.get()) & EV_READ) == 0;
   if (told) {
     bufferevent_write_buffer(socket_.get(), out.get());
@@ -307,10 +274,7 @@
 
 void ClientSession::Written() {  // all that was to be written is
   memory_.Set(Unsent());
-  if (!owed_.empty() && owed_.front().value == Owed::Value::kWaits) {
-    owed_.front().value = Owed::Value::kComes;
-    return decision_.GoOn(owed_.front().id);
-  }
+  if (owed_.first_paused()) return decision_.GoOn(owed_.ResumeFirst());
   if (closing_ && owed_.empty()) {
     shutdown(bufferevent_getfd(socket_.get()), SHUT_WR);  // read on, lest a reset overtake the answer
     turned_away_ = clock_.Now();
--- a/src/front/client_session.h
+++ b/src/front/client_session.h
@@ -1,7 +1,6 @@
 // One client's connection: reads commands, hands requests on, writes the answers in the commands' order.
 #pragma once
 
-#include <deque>
 #include <list>
 #include <memory>
 #include <optional>
@@ -12,6 +11,7 @@
 #include "base/event_handles.h"
 #include "base/log.h"
 #include "base/tuning.h"
+#include "front/answer_queue.h"
 #include "front/client_command.h"
 #include "front/doors.h"
 #include "protocol/request.h"
@@ -86,12 +86,6 @@
   std::list<std::unique_ptr<ClientSession>>::iterator self;
 
  private:
-  struct Owed {
-    BufferPtr answer;                                                   // null: not there yet
-    enum class Value { kWhole, kComes, kWaits } value = Value::kWhole;  // the latter: the member is not read
-    RequestId id{};
-    bool transaction = false;
-  };
   static void OnRead(bufferevent*, void* self) { static_cast<ClientSession*>(self)->Read(); }
   static void OnWritten(bufferevent*, void* self) { static_cast<ClientSession*>(self)->Written(); }
   static void OnEvent(bufferevent*, short what, void* self);
@@ -103,7 +97,6 @@
   void Malformed(std::string_view complaint);
   void Account();
   void Say(std::string_view answer);
-  Owed& At(std::uint64_t place) { return owed_[place - first_]; }
   void Flush();
   std::size_t Unsent() const;
   void Written();
@@ -128,10 +121,9 @@
   };
   std::optional<Body> body_;     // a large value is coming
   bool waits_for_room_ = false;  // for memory for one; not read meanwhile
-  std::deque<Owed> owed_;        // answers owed, in the commands' order
-  std::uint64_t first_ = 0;      // place of the first of them
-  bool closing_ = false;         // no more is read; ends when all is written
-  bool asked_ = false;           // a whole command has come
+  AnswerQueue owed_;
+  bool closing_ = false;  // no more is read; ends when all is written
+  bool asked_ = false;    // a whole command has come
   std::uint64_t requests_ = 0;
   std::size_t unread_ = 0;                    // as last told to the listener
   TimePoint connected_, quiet_since_;         // the latter: nothing owed since
@@ -139,7 +131,7 @@
   TimePoint turned_away_ = TimePoint::max();  // its -ERR was written
   bool last_call_ = false;
   std::optional<std::uint64_t> client_;  // its address, hashed, once somebody has asked for it
-  Booking memory_;  // for answers that have not been taken
+  Booking memory_;                       // for answers that have not been taken
   BuffereventPtr socket_;
 };
 
