--- a/src/front/client_session.cpp
+++ b/src/front/client_session.cpp
@@ -6,6 +6,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "front/socket_state.h"
+
 namespace peatbend::net {
 namespace {
 constexpr std::size_t kFreeAhead = 8;          // answers that a client may run ahead, memory or not
@@ -74,11 +76,13 @@
     }
     if (!TakeCommand(Contents(in))) break;
   }
+  if (last_call_ && !closing_ && !Crowded()) TakeNoMore();
   bool half = (body_ || evbuffer_get_length(in) > 0) && !closing_ && !Crowded();
   if (!half) begun_ = TimePoint::max();
   if (half && begun_ == TimePoint::max()) begun_ = clock_.Now();
   Flush();
   Account();
+  if (last_call_ && closing_ && all_written() && turned_away_ == TimePoint::max()) Written();
 }
 
 void ClientSession::Account() {
@@ -131,7 +135,7 @@
 }
 
 void ClientSession::TryAgain() {
-  if (!std::exchange(waits_for_room_, false)) return;
+  if (last_call_ || !std::exchange(waits_for_room_, false)) return;
   bufferevent_enable(socket_.get(), EV_READ);
   Read();
 }
@@ -150,6 +154,9 @@
       break;
   }
   ClientCommand command = ReadWhole(buffer);
+  if (command.request) {
+    command.request->remaining = std::min(command.request->remaining, home_.TimeToAnswer());
+  }
   using Kind = ClientCommand::Kind;
   if (command.kind == Kind::kMalformed) return Malformed(command.complaint), false;
   evbuffer_drain(bufferevent_get_input(socket_.get()), parser_.message().size);
@@ -205,7 +212,7 @@
   waits_for_room_ = false;
   evbuffer* in = bufferevent_get_input(socket_.get());
   evbuffer_drain(in, evbuffer_get_length(in));
-  bufferevent_enable(socket_.get(), EV_READ);
+  if (!last_call_) bufferevent_enable(socket_.get(), EV_READ);
   Say(std::string("-ERR ").append(complaint).append("\r\n"));
 }
 
@@ -276,26 +283,26 @@
   memory_.Set(Unsent());
   if (owed_.first_paused()) return decision_.GoOn(owed_.ResumeFirst());
   if (closing_ && owed_.empty()) {
-    shutdown(bufferevent_getfd(socket_.get()), SHUT_WR);  // read on, lest a reset overtake the answer
+    // Not closed yet, lest a reset overtake the answer. What comes after a last call stays unread: its client
+    // may send it again. What comes after a malformed command can't be told apart; it is read and dropped.
+    shutdown(bufferevent_getfd(socket_.get()), SHUT_WR);
     turned_away_ = clock_.Now();
     return;
   }
   if (home_.doors().rest() != Doors::Rest::kStays && at_rest()) return home_.AtRest(*this);
   if (!closing_ && !waits_for_room_ && (bufferevent_get_enabled(socket_.get()) & EV_READ) == 0 &&
       !Crowded()) {
-    bufferevent_enable(socket_.get(), EV_READ);
+    if (!last_call_) bufferevent_enable(socket_.get(), EV_READ);
     Read();
   }
 }
 
 bool ClientSession::idle() const {
-  return owed_.empty() && !body_ && evbuffer_get_length(bufferevent_get_input(socket_.get())) == 0 &&
-         evbuffer_get_length(bufferevent_get_output(socket_.get())) == 0;
+  return all_written() && !body_ && evbuffer_get_length(bufferevent_get_input(socket_.get())) == 0;
 }
 
 TimePoint ClientSession::due() const {
-  if (turned_away_ != TimePoint::max())
-    return turned_away_ + (last_call_ ? std::min(tuning_.linger, kLastLinger) : tuning_.linger);
+  if (turned_away_ != TimePoint::max()) return turned_away_ + Linger();
   if (closing_) return TimePoint::max();
   if (!asked_) return connected_ + tuning_.first_command;
   if (half_sent()) {  // a large value is given time by what has come of it
@@ -305,16 +312,38 @@
   return idle() ? quiet_since_ + tuning_.idle : TimePoint::max();
 }
 
+Duration ClientSession::Linger() const {
+  if ((bufferevent_get_enabled(socket_.get()) & EV_READ) != 0) return tuning_.linger;
+  evutil_socket_t socket = bufferevent_getfd(socket_.get());
+  if (PeerHasClosed(socket)) return Duration::zero();  // reading would have told
+  bool soon = last_call_ && !HasUnacknowledged(socket);
+  return soon ? std::min(tuning_.linger, kLastLinger) : tuning_.linger;
+}
+
 void ClientSession::Overdue() {
-  if (turned_away_ != TimePoint::max() || !half_sent()) {
-    if (turned_away_ == TimePoint::max()) ++counters_.clients_closed_as_idle;
-    return Leave();
-  }
-  TurnAway("command not whole in time");
+  if (turned_away_ != TimePoint::max()) return Leave();
+  if (half_sent()) return TurnAway("command not whole in time");
+  if (HasUnread(bufferevent_getfd(socket_.get()))) return;
+  ++counters_.clients_closed_as_idle;
+  CloseBetweenRequests();
+}
+
+void ClientSession::CloseBetweenRequests() {
+  evutil_socket_t socket = bufferevent_getfd(socket_.get());
+  if (HasUnread(socket)) return;
+  if (HasUnacknowledged(socket)) return LastCall();
+  Leave();
+}
+
+bool ClientSession::closes_cleanly() const {
+  evutil_socket_t socket = bufferevent_getfd(socket_.get());
+  if (HasUnacknowledged(socket)) return false;
+  return turned_away_ != TimePoint::max() || !HasUnread(socket);
 }
 
 void ClientSession::TurnAway(std::string_view complaint) {
   Malformed(complaint);
+  bufferevent_disable(socket_.get(), EV_READ);  // whole commands may follow, which nobody would answer
   Flush();
   Account();
 }
@@ -325,21 +354,27 @@
   return half_sent() && owed_.empty() ? Spare::kHalfSent : Spare::kNeeded;
 }
 
-bool ClientSession::at_rest() const {
-  return owed_.empty() && !closing_ && evbuffer_get_length(bufferevent_get_output(socket_.get())) == 0;
+bool ClientSession::all_written() const {
+  return owed_.empty() && evbuffer_get_length(bufferevent_get_output(socket_.get())) == 0;
 }
 
+bool ClientSession::at_rest() const { return all_written() && !ends(); }
+
 void ClientSession::LastCall() {
-  if (closing_) return;
-  last_call_ = closing_ = true;
+  if (last_call_ || closing_) return;
+  last_call_ = true;
+  waits_for_room_ = false;
+  bufferevent_disable(socket_.get(), EV_READ);
+  Read();
+}
+
+// All whole commands that were read have been taken. What is left of one that is not whole is dropped.
+void ClientSession::TakeNoMore() {
+  closing_ = true;
   body_.reset();
   waits_for_room_ = false;
-  begun_ = TimePoint::max();
   evbuffer* in = bufferevent_get_input(socket_.get());
   evbuffer_drain(in, evbuffer_get_length(in));
-  Account();
-  bufferevent_enable(socket_.get(), EV_READ);
-  if (owed_.empty() && evbuffer_get_length(bufferevent_get_output(socket_.get())) == 0) Written();
 }
 
 bool ClientSession::may_move() const {
--- a/src/front/client_session.h
+++ b/src/front/client_session.h
@@ -34,6 +34,8 @@
   // Nothing is owed on the session, and its connection is not to stay: may destroy it.
   virtual void AtRest(ClientSession& session) = 0;
   virtual const Doors& doors() const = 0;
+  // A request that is taken now has at most so long.
+  virtual Duration TimeToAnswer() const = 0;
 };
 
 class ClientSession : public AnswerSink {
@@ -52,8 +54,15 @@
 
   // Nothing is owed and nothing has begun to arrive.
   bool idle() const;
-  // Takes no further command: what is owed is answered, and that is the end.
+  // Reads no more from the socket. What has been read is taken and answered, and that is the end.
   void LastCall();
+  // Has had its last call, or an error that ends it.
+  bool ends() const { return last_call_ || closing_; }
+  // Ends an idle connection, unless a request has come that was not read yet. Where the client's system lacks
+  // something of the last answer, that is waited for.
+  void CloseBetweenRequests();
+  // Whether the connection can be closed at once without a reset and without loss of an answer.
+  bool closes_cleanly() const;
   // Nothing is owed, though a command may have begun to arrive.
   bool at_rest() const;
   bool asked() const { return asked_; }
@@ -100,6 +109,11 @@
   void Flush();
   std::size_t Unsent() const;
   void Written();
+  void TakeNoMore();
+  // No answer is owed, and the system has all that was answered.
+  bool all_written() const;
+  // How long the connection stays open after its end was sent.
+  Duration Linger() const;
   bool Crowded() const;
   void Leave();
   std::uint64_t Client() {
@@ -122,16 +136,16 @@
   std::optional<Body> body_;     // a large value is coming
   bool waits_for_room_ = false;  // for memory for one; not read meanwhile
   AnswerQueue owed_;
-  bool closing_ = false;  // no more is read; ends when all is written
+  bool closing_ = false;  // no more is taken; ends when all is written
   bool asked_ = false;    // a whole command has come
   std::uint64_t requests_ = 0;
   std::size_t unread_ = 0;                    // as last told to the listener
   TimePoint connected_, quiet_since_;         // the latter: nothing owed since
   TimePoint begun_ = TimePoint::max();        // a command that is not whole yet began to arrive; max: none
   TimePoint turned_away_ = TimePoint::max();  // its -ERR was written
-  bool last_call_ = false;
-  std::optional<std::uint64_t> client_;  // its address, hashed, once somebody has asked for it
-  Booking memory_;                       // for answers that have not been taken
+  bool last_call_ = false;                    // the socket is not read any more
+  std::optional<std::uint64_t> client_;       // its address, hashed, once somebody has asked for it
+  Booking memory_;                            // for answers that have not been taken
   BuffereventPtr socket_;
 };
 
--- a/src/front/listener.cpp
+++ b/src/front/listener.cpp
@@ -1,5 +1,7 @@
 #include "front/listener.h"
 
+#include <sys/socket.h>
+
 #include <cerrno>
 #include <cstring>
 #include <stdexcept>
@@ -101,7 +103,8 @@
       if (hand_on_(session)) End(session);
       return;
     case Doors::Rest::kCloses:
-      if (session.idle() && session.asked()) End(session);  // what has begun to ask is still served
+      // What has begun to ask is still served.
+      if (session.idle() && session.asked()) session.CloseBetweenRequests();
       return;
   }
 }
@@ -114,16 +117,12 @@
 }
 
 // While connections are to close: what has never asked, what goes on asking without a pause and what takes
-// its time over a command each get a little longer, and no more.
-bool Listener::EndIfOver(ClientSession& session, TimePoint now) {
+// its time over a command each get a little longer, and no more. May destroy the session.
+void Listener::EndIfOver(ClientSession& session, TimePoint now) {
   TimePoint from = std::max(closing_since_, session.connected());
-  if (session.idle() && (session.asked() || now - from > kSilentAway)) {
-    End(session);
-    return true;
-  }
+  if (session.idle() && (session.asked() || now - from > kSilentAway)) return session.CloseBetweenRequests();
   bool half = session.at_rest() && session.half_sent();
-  if (now - from > (half ? kHalfAway : kLastCall)) session.LastCall();
-  return false;
+  if (now >= read_until_ || now - from > (half ? kHalfAway : kLastCall)) session.LastCall();
 }
 
 // Closes the session that can best be spared: one that was turned away, has never asked, is between requests
@@ -142,7 +141,7 @@
     if (&session == &sessions_.back() || session->spare() == ClientSession::Spare::kNeeded) continue;
     bool better = best == nullptr || rank(*session) > rank(*best) ||
                   (rank(*session) == rank(*best) && session->quiet_since() < best->quiet_since());
-    if (better) best = session.get();
+    if (better && session->closes_cleanly()) best = session.get();
   }
   if (best == nullptr) {
     log_.Line("clients crowded", std::to_string(sessions_.size()) + " sessions, all with requests out");
@@ -168,7 +167,7 @@
     if (!session->idle()) continue;
     bool better = best == nullptr || session->spare() > best->spare() ||
                   (session->spare() == best->spare() && session->quiet_since() < best->quiet_since());
-    if (better) best = session.get();
+    if (better && session->closes_cleanly()) best = session.get();
   }
   // Of those that have begun their first command some take their time, and the others are strangers.
   if (held + std::min(begin, most / 2) <= most || best == nullptr) return;
@@ -190,15 +189,15 @@
     bool goes = rest == Doors::Rest::kGoesToSuccessor && session.at_rest();
     if (goes && hand_on_(session)) {
       End(session);
-    } else if (rest == Doors::Rest::kCloses && EndIfOver(session, now)) {
-      continue;
     } else if (session.due() <= now) {
       session.Overdue();
     } else if (sessions_.size() > Part(sockets_.most, tuning_.crowded_share) &&
                now - session.quiet_since() > tuning_.silent_in_crowd &&
-               session.spare() == ClientSession::Spare::kSilent) {
+               session.spare() == ClientSession::Spare::kSilent && session.closes_cleanly()) {
       ++counters_.clients_closed_for_room;
       End(session);
+    } else if (rest == Doors::Rest::kCloses && !session.ends()) {
+      EndIfOver(session, now);
     }
   }
   sweep_.Set(kSweepEvery);
@@ -224,8 +223,31 @@
   if (then_ && sessions_.empty()) stopped_.SetNow();
 }
 
+void Listener::EndSoon(TimePoint read_until, TimePoint answer_by) {
+  read_until_ = read_until;
+  answer_by_ = answer_by;
+}
+
+Duration Listener::TimeToAnswer() const {
+  if (answer_by_ == TimePoint::max()) return Duration::max();
+  return std::max(answer_by_ - clock_.Now(), Duration::zero());
+}
+
+// Closing a listening socket resets the connections that wait in its queue.
+void Listener::EmptyAcceptQueue() {
+  while (true) {
+    int accepted = accept4(socket(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
+    if (accepted >= 0) {
+      Accepted(accepted);
+    } else if (errno != EINTR && errno != ECONNABORTED) {
+      return;
+    }
+  }
+}
+
 void Listener::Stop(std::function<void()> then) {
   then_ = std::move(then);
+  if (doors_.rest() != Doors::Rest::kGoesToSuccessor) EmptyAcceptQueue();  // a successor accepts from it
   listener_.reset();
   EndWhatRests();
   if (sessions_.empty()) stopped_.SetNow();
--- a/src/front/listener.h
+++ b/src/front/listener.h
@@ -30,6 +30,7 @@
   void AtRest(ClientSession& session) override;
   const Doors& doors() const override { return doors_; }
   MemoryBudget& memory() override { return memory_; }
+  Duration TimeToAnswer() const override;
   // Whether connections are taken; the socket stays open either way.
   void Accept(bool yes);
   // Ends or hands on what is at rest, as the doors say now.
@@ -38,15 +39,19 @@
   void Adopt(evutil_socket_t socket, std::string_view begun, Duration begun_ago, bool asked);
   // -1 once it accepts no more.
   int socket() const { return listener_ ? evconnlistener_get_fd(listener_.get()) : -1; }
-  // Accepts no more, and calls `then` once the last session has ended.
+  // The process ends soon: while connections close, commands are read until `read_until`, and what is taken
+  // has time until `answer_by` at most.
+  void EndSoon(TimePoint read_until, TimePoint answer_by);
+  // Takes what waits in the accept queue, accepts no more, and calls `then` once the last session has ended.
   void Stop(std::function<void()> then);
   int port() const;
   std::size_t sessions() const { return sessions_.size(); }
 
  private:
   ClientSession& Accepted(evutil_socket_t socket);
-  bool EndIfOver(ClientSession& session, TimePoint now);
+  void EndIfOver(ClientSession& session, TimePoint now);
   void Pause();
+  void EmptyAcceptQueue();
   bool MakeRoom();
   void CloseHeld();
   void Sweep();
@@ -56,6 +61,7 @@
   HandOn hand_on_;
   bool accepting_ = true;
   TimePoint closing_since_ = TimePoint::max();  // the doors have said kCloses since
+  TimePoint read_until_ = TimePoint::max(), answer_by_ = TimePoint::max();
   Decision& decision_;
   const Settings& settings_;
   const Tuning::Clients& tuning_;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -23,6 +23,9 @@
 // How often the successor is told what is free for it; of the descriptors held then, for flows that go on.
 constexpr std::chrono::milliseconds kTellKeepsEvery{50}, kEndAgain{5};
 constexpr std::int64_t kForFlows = 4;
+// After SIGTERM the platform waits for the longest deadline, and for this at most, before it kills. The last
+// answers are given so long before the program ends.
+constexpr std::chrono::milliseconds kLongestWait{3000}, kForLastAnswers{50};
 // Of the memory: for large values, over all transactions.
 constexpr double kValuesShare = 0.3;
 
@@ -158,8 +161,13 @@
   log_.Line("stopping", std::to_string(decision_.transactions()) + " transactions open");
   then_ = std::move(then);
   life_.Stop();
-  late_clients_over_.Set(running_.tuning.stop.keep_listening);
-  stop_at_last_.Set(running_.tuning.stop.keep_listening + LongestDeadline() + running_.tuning.stop.slack);
+  const Tuning::Stop& stop = running_.tuning.stop;
+  late_clients_over_.Set(stop.keep_listening);
+  stop_at_last_.Set(stop.keep_listening + LongestDeadline() + stop.slack);
+  // What is read late still has half of the time that its class may have.
+  Duration wait = std::min<Duration>(LongestDeadline(), kLongestWait);
+  TimePoint answer_by = clock_.Now() + stop.keep_listening + wait + stop.slack - kForLastAnswers;
+  listener_.EndSoon(answer_by - wait / 2, answer_by);
   if (peers_) peers_->Leave();
   Moved();
 }
