--- a/src/front/client_session.cpp
+++ b/src/front/client_session.cpp
@@ -6,6 +6,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "front/socket_state.h"
+
 namespace peatbend::net {
 namespace {
 constexpr std::size_t kFreeAhead = 8;          // answers that a client may run ahead, memory or not
@@ -42,10 +44,7 @@
 
 ClientSession::~ClientSession() {
   home_.Unread(unread_, 0);
-  for (const Owed& owed : owed_) {
-    if (owed.transaction && (!owed.answer || owed.value != Owed::Value::kWhole))
-      decision_.ClientLeft(owed.id);
-  }
+  for (RequestId id : owed_.Unanswered()) decision_.ClientLeft(id);
 }
 
 void ClientSession::Leave() { home_.End(*this); }
@@ -77,11 +76,13 @@
     }
     if (!TakeCommand(Contents(in))) break;
   }
+  if (last_call_ && !closing_ && !Crowded()) TakeNoMore();
   bool half = (body_ || evbuffer_get_length(in) > 0) && !closing_ && !Crowded();
   if (!half) begun_ = TimePoint::max();
   if (half && begun_ == TimePoint::max()) begun_ = clock_.Now();
   Flush();
   Account();
+  if (last_call_ && closing_ && all_written() && turned_away_ == TimePoint::max()) Written();
 }
 
 void ClientSession::Account() {
@@ -134,7 +135,7 @@
 }
 
 void ClientSession::TryAgain() {
-  if (!std::exchange(waits_for_room_, false)) return;
+  if (last_call_ || !std::exchange(waits_for_room_, false)) return;
   read_pause_.Resume();
   Read();
 }
@@ -153,6 +154,9 @@
       break;
   }
   ClientCommand command = ReadWhole(buffer);
+  if (command.request) {
+    command.request->remaining = std::min(command.request->remaining, home_.TimeToAnswer());
+  }
   using Kind = ClientCommand::Kind;
   if (command.kind == Kind::kMalformed) return Malformed(command.complaint), false;
   evbuffer_drain(bufferevent_get_input(socket_.get()), parser_.message().size);
@@ -162,17 +166,15 @@
   switch (command.kind) {
     case Kind::kRequest: {
       ++requests_;
-      std::uint64_t place = first_ + owed_.size();
       if (decision_.asks_for_clients()) command.request->client = Client();
-      auto id = decision_.Take(std::move(command.request), *this, place);
+      auto id = decision_.Take(std::move(command.request), *this, owed_.next_place());
       if (!id) {  // two requests under one id could be given each other's answers
         ++counters_.ids_in_use;
         log_.Line("id in use", "a request was answered -ERR");
         Say("-ERR id in use\r\n");
         break;
       }
-      owed_.emplace_back().transaction = true;
-      owed_.back().id = *id;
+      owed_.AddRequest(*id);
       break;
     }
     case Kind::kPing:
@@ -210,92 +212,65 @@
   waits_for_room_ = false;
   evbuffer* in = bufferevent_get_input(socket_.get());
   evbuffer_drain(in, evbuffer_get_length(in));
-  read_pause_.Resume();
+  if (!last_call_) read_pause_.Resume();
   Say(std::string("-ERR ").append(complaint).append("\r\n"));
 }
 
-void ClientSession::Say(std::string_view answer) {
-  owed_.emplace_back().answer = NewBuffer();
-  Append(owed_.back().answer.get(), answer);
-}
+void ClientSession::Say(std::string_view answer) { owed_.AddAnswer(answer); }
 
 void ClientSession::Served(std::uint64_t place, evbuffer* value) {
-  At(place).answer = NewBuffer();
-  AppendServed(At(place).answer.get(), value);
+  owed_.Serve(place, value);
   Flush();
 }
 
 void ClientSession::Rejected(std::uint64_t place, Duration come_back) {
-  At(place).answer = NewBuffer();
-  AppendRejected(At(place).answer.get(), come_back);
+  owed_.Reject(place, come_back);
   Flush();
 }
 
 void ClientSession::Failed(std::uint64_t place) {
-  At(place).answer = NewBuffer();
-  Append(At(place).answer.get(), "-ERR failed\r\n");
+  owed_.Fail(place);
   Flush();
 }
 
-void ClientSession::Begins(std::uint64_t place, std::size_t length) {
-  Owed& owed = At(place);
-  owed.answer = NewBuffer();
-  owed.value = Owed::Value::kComes;
-  evbuffer_add_printf(owed.answer.get(), "$%zu\r\n", length);
-}
+void ClientSession::Begins(std::uint64_t place, std::size_t length) { owed_.BeginValue(place, length); }
 
 bool ClientSession::Piece(std::uint64_t place, evbuffer* bytes) {
-  Owed& owed = At(place);
-  evbuffer_add_buffer(owed.answer.get(), bytes);
+  owed_.AddPiece(place, bytes);
   Flush();
   if (memory_.size() < std::clamp(home_.memory().free() / 8, kLeastUnsent, kMostUnsent)) return true;
-  owed.value = Owed::Value::kWaits;
+  owed_.PauseValue(place);
   return false;
 }
 
 // A value that is not whole ends the connection; where none of it was written yet, an error can still be
 // told.
 void ClientSession::Ends(std::uint64_t place, bool whole) {
-  Owed& owed = At(place);
-  owed.value = Owed::Value::kWhole;
-  if (!whole && place == first_) {
-    ++counters_.values_cut;
-    return Leave();
-  }
   if (whole) {
-    Append(owed.answer.get(), "\r\n");
+    owed_.EndValue(place);
     return Flush();
   }
+  owed_.CutValue(place);
+  if (owed_.IsFirst(place)) {
+    ++counters_.values_cut;
+    return Leave();
+  }
   Failed(place);
 }
 
 // Bytes of answers that the client has not taken.
 std::size_t ClientSession::Unsent() const {
-  std::size_t size = evbuffer_get_length(bufferevent_get_output(socket_.get()));
-  for (const Owed& owed : owed_) size += owed.answer ? evbuffer_get_length(owed.answer.get()) : 0;
-  return size;
+  return evbuffer_get_length(bufferevent_get_output(socket_.get())) + owed_.bytes();
 }
 
 // Writes the answers that are there, up to the first that is not whole, as one piece.
 void ClientSession::Flush() {
-  BufferPtr out;
-  while (!owed_.empty() && owed_.front().answer) {
-    bool whole = owed_.front().value == Owed::Value::kWhole;
-    if (!out && whole) {
-      out = std::move(owed_.front().answer);
-    } else {
-      if (!out) out = NewBuffer();
-      evbuffer_add_buffer(out.get(), owed_.front().answer.get());
-    }
-    if (!whole) break;
-    owed_.pop_front();
-    ++first_;
-  }
-  if (!out || evbuffer_get_length(out.get()) == 0) return memory_.Set(Unsent());
+  BufferPtr out = owed_.TakeReady();
+  if (!out) return memory_.Set(Unsent());
   quiet_since_ = clock_.Now();
   // Where the session waits to hear that all is written, the bufferevent has to write, for it tells.
-  bool waits = !owed_.empty() && owed_.front().value == Owed::Value::kWaits;
-  bool told = closing_ || waits || home_.doors().rest() != Doors::Rest::kStays || read_pause_.paused();
+  bool told =
+      closing_ || owed_.first_paused() || home_.doors().rest() != Doors::Rest::kStays || read_pause_.paused();
   if (told) {
     bufferevent_write_buffer(socket_.get(), out.get());
   } else {
@@ -306,30 +281,27 @@
 
 void ClientSession::Written() {  // all that was to be written is
   memory_.Set(Unsent());
-  if (!owed_.empty() && owed_.front().value == Owed::Value::kWaits) {
-    owed_.front().value = Owed::Value::kComes;
-    return decision_.GoOn(owed_.front().id);
-  }
+  if (owed_.first_paused()) return decision_.GoOn(owed_.ResumeFirst());
   if (closing_ && owed_.empty()) {
-    shutdown(bufferevent_getfd(socket_.get()), SHUT_WR);  // read on, lest a reset overtake the answer
+    // Not closed yet, lest a reset overtake the answer. What comes after a last call stays unread: its client
+    // may send it again. What comes after a malformed command can't be told apart; it is read and dropped.
+    shutdown(bufferevent_getfd(socket_.get()), SHUT_WR);
     turned_away_ = clock_.Now();
     return;
   }
   if (home_.doors().rest() != Doors::Rest::kStays && at_rest()) return home_.AtRest(*this);
   if (!closing_ && !waits_for_room_ && read_pause_.paused() && !Crowded()) {
-    read_pause_.Resume();
+    if (!last_call_) read_pause_.Resume();
     Read();
   }
 }
 
 bool ClientSession::idle() const {
-  return owed_.empty() && !body_ && evbuffer_get_length(bufferevent_get_input(socket_.get())) == 0 &&
-         evbuffer_get_length(bufferevent_get_output(socket_.get())) == 0;
+  return all_written() && !body_ && evbuffer_get_length(bufferevent_get_input(socket_.get())) == 0;
 }
 
 TimePoint ClientSession::due() const {
-  if (turned_away_ != TimePoint::max())
-    return turned_away_ + (last_call_ ? std::min(tuning_.linger, kLastLinger) : tuning_.linger);
+  if (turned_away_ != TimePoint::max()) return turned_away_ + Linger();
   if (closing_) return TimePoint::max();
   if (!asked_) return connected_ + tuning_.first_command;
   if (half_sent()) {  // a large value is given time by what has come of it
@@ -339,16 +311,38 @@
   return idle() ? quiet_since_ + tuning_.idle : TimePoint::max();
 }
 
+Duration ClientSession::Linger() const {
+  if ((bufferevent_get_enabled(socket_.get()) & EV_READ) != 0) return tuning_.linger;
+  evutil_socket_t socket = bufferevent_getfd(socket_.get());
+  if (Ended(socket)) return Duration::zero();  // reading would have told
+  bool soon = last_call_ && !HasUnacknowledged(socket);
+  return soon ? std::min(tuning_.linger, kLastLinger) : tuning_.linger;
+}
+
 void ClientSession::Overdue() {
-  if (turned_away_ != TimePoint::max() || !half_sent()) {
-    if (turned_away_ == TimePoint::max()) ++counters_.clients_closed_as_idle;
-    return Leave();
-  }
-  TurnAway("command not whole in time");
+  if (turned_away_ != TimePoint::max()) return Leave();
+  if (half_sent()) return TurnAway("command not whole in time");
+  if (HasUnread(bufferevent_getfd(socket_.get()))) return;
+  ++counters_.clients_closed_as_idle;
+  CloseBetweenRequests();
+}
+
+void ClientSession::CloseBetweenRequests() {
+  evutil_socket_t socket = bufferevent_getfd(socket_.get());
+  if (HasUnread(socket)) return;
+  if (HasUnacknowledged(socket)) return LastCall();
+  Leave();
+}
+
+bool ClientSession::closes_cleanly() const {
+  evutil_socket_t socket = bufferevent_getfd(socket_.get());
+  if (HasUnacknowledged(socket)) return false;
+  return turned_away_ != TimePoint::max() || !HasUnread(socket);
 }
 
 void ClientSession::TurnAway(std::string_view complaint) {
   Malformed(complaint);
+  read_pause_.Pause();  // whole commands may follow, which nobody would answer
   Flush();
   Account();
 }
@@ -359,21 +353,27 @@
   return half_sent() && owed_.empty() ? Spare::kHalfSent : Spare::kNeeded;
 }
 
-bool ClientSession::at_rest() const {
-  return owed_.empty() && !closing_ && evbuffer_get_length(bufferevent_get_output(socket_.get())) == 0;
+bool ClientSession::all_written() const {
+  return owed_.empty() && evbuffer_get_length(bufferevent_get_output(socket_.get())) == 0;
 }
 
+bool ClientSession::at_rest() const { return all_written() && !ends(); }
+
 void ClientSession::LastCall() {
-  if (closing_) return;
-  last_call_ = closing_ = true;
+  if (last_call_ || closing_) return;
+  last_call_ = true;
+  waits_for_room_ = false;
+  read_pause_.Pause();
+  Read();
+}
+
+// All whole commands that were read have been taken. What is left of one that is not whole is dropped.
+void ClientSession::TakeNoMore() {
+  closing_ = true;
   body_.reset();
   waits_for_room_ = false;
-  begun_ = TimePoint::max();
   evbuffer* in = bufferevent_get_input(socket_.get());
   evbuffer_drain(in, evbuffer_get_length(in));
-  Account();
-  read_pause_.Resume();
-  if (owed_.empty() && evbuffer_get_length(bufferevent_get_output(socket_.get())) == 0) Written();
 }
 
 bool ClientSession::may_move() const {
