--- a/tests/orders/open_test.cpp
+++ b/tests/orders/open_test.cpp
@@ -46,6 +46,15 @@
     entry.started = started;
     return entry;
   }
+  // The cache server has answered this request, after so long.
+  void AnswerGood(unsigned id, Duration elapsed) {
+    OutcomeEvent good;
+    good.id = RequestId{id};
+    good.server = "box";
+    good.elapsed = elapsed;
+    good.done = true;
+    Take(good);
+  }
   // So many sends as it led to.
   std::size_t Ask(unsigned id, bool write, Duration remaining) {
     RequestEvent event;
@@ -76,12 +85,7 @@
   for (unsigned id = 1; id <= 100; ++id) {
     REQUIRE(small.Ask(id, false, milliseconds(900)) == 1);
     small.now += milliseconds(30);
-    OutcomeEvent good;
-    good.id = RequestId{id};
-    good.server = "box";
-    good.elapsed = milliseconds(30);
-    good.done = true;
-    small.Take(good);
+    small.AnswerGood(id, milliseconds(30));
   }
   CHECK(small.Ask(1000, false, milliseconds(5)) == 0);
   CHECK(std::ranges::count_if(
@@ -104,12 +108,7 @@
   for (unsigned id = 2; id <= 100; ++id) {
     REQUIRE(small.Ask(id, false, milliseconds(900)) == 1);
     small.now += milliseconds(30);
-    OutcomeEvent good;
-    good.id = RequestId{id};
-    good.server = "box";
-    good.elapsed = milliseconds(30);
-    good.done = true;
-    small.Take(good);
+    small.AnswerGood(id, milliseconds(30));
   }
   CHECK(small.Ask(1000, false, milliseconds(15)) == 1);
   CHECK(small.Ask(1001, true, milliseconds(5)) == 1);  // another class, of which nothing is known
@@ -126,12 +125,7 @@
     small.now += milliseconds(30);
     small.Take(StreamStartEvent{RequestId{id}, 0});
     small.now += std::chrono::seconds(20);
-    OutcomeEvent good;
-    good.id = RequestId{id};
-    good.server = "box";
-    good.elapsed = std::chrono::seconds(20);
-    good.done = true;
-    small.Take(good);
+    small.AnswerGood(id, std::chrono::seconds(20));
   }
   CHECK(small.Ask(1000, false, milliseconds(900)) == 1);
 }
