--- a/src/handover/channel.cpp
+++ b/src/handover/channel.cpp
@@ -165,8 +165,9 @@
     } else if (errno == ETOOMANYREFS || errno == ENOBUFS) {  // too many descriptors on their way
       again_.Set(std::chrono::milliseconds(2));
       return;
-    } else {  // broken, which the reading end is told of
-      waiting_.clear();
+    } else {  // broken: what waits stays for TakeWaiting(), and reading tells of the end
+      shutdown(socket_.get(), SHUT_RDWR);
+      return;
     }
   }
 }
--- a/src/handover/channel.h
+++ b/src/handover/channel.h
@@ -67,6 +67,8 @@
   Channel(event_base* base, FileHandle socket, OnPacket on_packet, OnEnd on_end);
   void Send(Packet packet);
   std::size_t waiting() const { return waiting_.size(); }
+  // The packets that the socket did not take, the first sent first: the other end cannot have read them.
+  std::deque<Packet> TakeWaiting() { return std::exchange(waiting_, {}); }
 
  private:
   void Readable();
--- a/src/handover/predecessor.cpp
+++ b/src/handover/predecessor.cpp
@@ -88,6 +88,17 @@
   return std::nullopt;
 }
 
+Packet WriteClient(ClientHandle client) {
+  return {{{"type", "client"}, {"asked", client.asked}, {"begun_ago", client.begun_ago.count()}},
+          std::move(client.begun),
+          std::move(client.socket)};
+}
+
+ClientHandle ReadClient(Packet packet) {
+  return {std::move(packet.file), std::move(packet.raw),
+          milliseconds(packet.head.value("begun_ago", std::int64_t{0})), packet.head.value("asked", true)};
+}
+
 Predecessor::Predecessor(event_base* base, FileHandle channel, Calls calls)
     : calls_(std::move(calls)),
       channel_(
@@ -101,9 +112,7 @@
   std::string type = packet.type();
   try {
     if (type == "client" && packet.file) {
-      ClientHandle client{std::move(packet.file), std::move(packet.raw),
-                          milliseconds(packet.head.value("begun_ago", std::int64_t{0})),
-                          packet.head.value("asked", true)};
+      ClientHandle client = ReadClient({packet.head, std::move(packet.raw), std::move(packet.file)});
       channel_.Send({{{"type", "taken"}}, "", {}});
       calls_.client(std::move(client));
     }
--- a/src/handover/predecessor.h
+++ b/src/handover/predecessor.h
@@ -40,6 +40,11 @@
   bool asked = false;                      // it has sent a whole command before
 };
 
+// A client as the packet that carries it. Reading throws nlohmann::json::exception where a field has another
+// type.
+Packet WriteClient(ClientHandle client);
+ClientHandle ReadClient(Packet packet);
+
 class Predecessor {
  public:
   struct Calls {
--- a/src/handover/successor.cpp
+++ b/src/handover/successor.cpp
@@ -103,15 +103,25 @@
                   FileHandle(dup(offer.listener))});
 }
 
+// Nothing is taken back that was written: what the other has not read cannot be told from what it has.
+std::vector<ClientHandle> Successor::TakeBackClients() {
+  std::vector<ClientHandle> clients;
+  for (Packet& packet : channel_->TakeWaiting()) {
+    if (packet.type() == "client") clients.push_back(ReadClient(std::move(packet)));
+  }
+  return clients;
+}
+
 void Successor::Lost() {
   silence_.Stop();
+  std::vector<ClientHandle> clients = TakeBackClients();
   channel_.reset();
   if (std::exchange(ready_, false)) {
     if (!path_.empty()) {
       CloseDoor();
       Open(path_);  // its file may have gone with the other process
     }
-    calls_.lost();
+    calls_.lost(std::move(clients));
   }
 }
 
@@ -119,13 +129,10 @@
 
 void Successor::Send(ClientHandle client, const Keeps& keeps) {
   ++on_the_way_;
-  channel_->Send({{{"type", "client"},
-                   {"keeps", keeps.descriptors},
-                   {"memory", keeps.memory},
-                   {"asked", client.asked},
-                   {"begun_ago", client.begun_ago.count()}},
-                  std::move(client.begun),
-                  std::move(client.socket)});
+  Packet packet = WriteClient(std::move(client));
+  packet.head["keeps"] = keeps.descriptors;
+  packet.head["memory"] = keeps.memory;
+  channel_->Send(std::move(packet));
 }
 
 void Successor::TellKeeps(const Keeps& keeps) {
--- a/src/handover/successor.h
+++ b/src/handover/successor.h
@@ -29,8 +29,10 @@
   struct Calls {
     std::function<Offer()> offer;
     std::function<void()> ready;  // it takes clients now
-    std::function<void()> lost;   // it has ended, or said nothing for too long after the offer
-    std::function<void()> room;   // it has taken clients, and takes more
+    // It has ended, or said nothing for too long after the offer. The clients were handed on and have not
+    // left this process.
+    std::function<void(std::vector<ClientHandle>)> lost;
+    std::function<void()> room;  // it has taken clients, and takes more
   };
   // Does nothing before Open.
   Successor(event_base* base, Log& log, Calls calls);
@@ -51,6 +53,7 @@
   void Take(Packet packet);
   void MakeOffer();
   void Lost();
+  std::vector<ClientHandle> TakeBackClients();
   void CloseDoor();
 
   event_base* base_;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -79,7 +79,7 @@
       successor_(base, log_,
                  {.offer = [this] { return MakeOffer(); },
                   .ready = [this] { SuccessorReady(); },
-                  .lost = [this] { SuccessorLost(); },
+                  .lost = [this](auto clients) { SuccessorLost(std::move(clients)); },
                   .room = [this] { listener_.EndWhatRests(); }}),
       listener_(
           base, Listening(config, inherited, log_), life_,
@@ -114,10 +114,7 @@
     predecessor_.emplace(
         base, std::move(inherited->channel),
         handover::Predecessor::Calls{
-            .client =
-                [this](handover::ClientHandle client) {
-                  listener_.Adopt(client.socket.Release(), client.begun, client.begun_ago, client.asked);
-                },
+            .client = [this](handover::ClientHandle client) { Adopt(std::move(client)); },
             .keeps = [this](std::int64_t keeps, std::int64_t memory) { PredecessorKeeps(keeps, memory); }});
     predecessor_->Ready();
   }
@@ -174,8 +171,10 @@
   Moved();
 }
 
-// No session is left; what was handed on leaves first, and what the process before still has comes first.
+// Once no session is left; what was handed on leaves first, and what the process before still has comes
+// first.
 void Router::End() {
+  if (listener_.sessions() > 0) return;  // taken back from a successor: the listener calls again after them
   if (!successor_.idle() || predecessor_keeps_ > 0) return end_.Set(kEndAgain);
   if (!std::exchange(ended_, true)) then_();
 }
@@ -278,13 +277,19 @@
   }
 }
 
-void Router::SuccessorLost() {
+void Router::SuccessorLost(std::vector<handover::ClientHandle> clients) {
   log_.Line("handover", "the new process has ended");
   bool moved = life_.SuccessorLost();
   Share();
   if (!peers_ && !life_.stopping()) MeetPeers();
   if (life_.away()) late_clients_over_.Set(kLateClients);  // it may have gone off in between
   if (moved) Moved();
+  if (!clients.empty()) log_.Line("handover", std::to_string(clients.size()) + " clients taken back");
+  for (handover::ClientHandle& client : clients) Adopt(std::move(client));
+}
+
+void Router::Adopt(handover::ClientHandle client) {
+  listener_.Adopt(client.socket.Release(), client.begun, client.begun_ago, client.asked);
 }
 
 bool Router::HandOn(ClientSession& session) {
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -6,6 +6,7 @@
 #include <memory>
 #include <optional>
 #include <string>
+#include <vector>
 
 #include "admin/admin_server.h"
 #include "base/clock.h"
@@ -68,7 +69,9 @@
   handover::Successor::Offer MakeOffer();
   bool HandOn(ClientSession& session);
   void SuccessorReady();
-  void SuccessorLost();
+  // `clients` were handed on and did not leave: they are served here again.
+  void SuccessorLost(std::vector<handover::ClientHandle> clients);
+  void Adopt(handover::ClientHandle client);
   void PredecessorKeeps(std::int64_t keeps, std::int64_t memory);
   void End();
   void TakeBook(const Config& config);
