--- a/tests/net/departures_test.cpp
+++ b/tests/net/departures_test.cpp
@@ -13,16 +13,16 @@
 enum class Leaves { kCloses, kResets };
 
 // A client's socket, to be ended either way.
-class RawClient {
+class LeavingClient {
  public:
-  RawClient(int port, const std::string& text) : socket_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+  LeavingClient(int port, const std::string& text) : socket_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     sockaddr_in to = Loopback(port);
     REQUIRE(connect(socket_, reinterpret_cast<sockaddr*>(&to), sizeof to) == 0);
     REQUIRE(send(socket_, text.data(), text.size(), 0) == static_cast<ssize_t>(text.size()));
   }
-  RawClient(const RawClient&) = delete;
-  RawClient& operator=(const RawClient&) = delete;
-  ~RawClient() {
+  LeavingClient(const LeavingClient&) = delete;
+  LeavingClient& operator=(const LeavingClient&) = delete;
+  ~LeavingClient() {
     if (socket_ >= 0) close(socket_);
   }
   void Leave(Leaves how) {
@@ -41,7 +41,7 @@
   Stage stage;
   std::string text;
   for (int i = 0; i < kMostOwed + 2; ++i) text += Get(std::to_string(1000 + i), "c=read,t=acme,d=2000");
-  RawClient client(stage.router.port(), text);
+  LeavingClient client(stage.router.port(), text);
   stage.Until([&] { return stage.router.counters().transactions == kMostOwed; });
   stage.Until([&] { return stage.member.Count("OBJ.GET") == stage.router.counters().flows; });
   std::size_t sent = stage.member.Count("OBJ.GET");
@@ -71,7 +71,7 @@
 // its last command and its end are there together.
 void LeavesBehindItsCommand(Leaves how) {
   Stage stage(Stage::Says(Value("x")));
-  RawClient client(stage.router.port(), Get(kKey, "c=read,t=acme,d=2000"));
+  LeavingClient client(stage.router.port(), Get(kKey, "c=read,t=acme,d=2000"));
   client.Leave(how);  // nothing of the router has run since it connected
   stage.Until([&] { return stage.router.counters().clients_closed == 1; });
   End& other = stage.Client(Get("1000", "c=read,t=acme,d=2000"));
@@ -96,11 +96,11 @@
   };
   Stage stage({}, {}, "", 1024, 16);
   // Each asks for another key before: once that is with the server, what came with it has been read.
-  RawClient first(stage.router.port(),
-                  Get("1000", "c=read,t=acme,d=2000") + begins("00000000000000aa") + "v");
+  LeavingClient first(stage.router.port(),
+                      Get("1000", "c=read,t=acme,d=2000") + begins("00000000000000aa") + "v");
   stage.Until([&] { return stage.member.Count("OBJ.GET") == 1; });
-  RawClient client(stage.router.port(),
-                   Get("2000", "c=read,t=acme,d=2000") + begins("00000000000000bb") + "v");
+  LeavingClient client(stage.router.port(),
+                       Get("2000", "c=read,t=acme,d=2000") + begins("00000000000000bb") + "v");
   stage.Until([&] { return stage.member.Count("OBJ.GET") == 2; });
   client.Leave(Leaves::kCloses);
   stage.Until([&] { return stage.router.counters().transactions_gone == 1; });
--- a/tests/net/handover_test.cpp
+++ b/tests/net/handover_test.cpp
@@ -1,9 +1,14 @@
 // What crosses a handover: clients, bytes and ends that meet it at the worst moment. On real sockets, with a
 // successor that does what the test says; upgrade_test.cpp shows the whole course of an upgrade.
 #include <algorithm>
+#include <atomic>
 #include <list>
+#include <optional>
 #include <string>
+#include <thread>
+#include <vector>
 
+#include "net/raw_client.h"
 #include "net/successor_peer.h"
 
 namespace peatbend::net::test {
@@ -49,6 +54,27 @@
   std::list<Client> clients;
 };
 
+// The process that follows, on the loop of the stage; it has connected and not yet said that it is ready.
+struct NextRouter {
+  NextRouter(Stage& stage, const std::string& door)
+      : inherited(Asked(stage, door)),
+        router(stage.base.get(), stage.Configured(), std::move(inherited), door) {}
+  static handover::Inheritance Asked(Stage& stage, const std::string& door) {
+    std::optional<handover::Inheritance> got;
+    std::atomic<bool> done = false;
+    std::thread asks([&] {
+      got = handover::AskPredecessor(door, std::chrono::seconds(3), [](std::string_view) {});
+      done = true;
+    });
+    stage.Until([&] { return done.load(); });
+    asks.join();
+    REQUIRE(got.has_value());
+    return std::move(*got);
+  }
+  std::optional<handover::Inheritance> inherited;
+  Router router;
+};
+
 Stage::Answer Stores() {
   return [value = std::string(HalfSentClients::kRead, 'x')](End& end) {
     if (end.got.ends_with(value)) end.Say(kStoredByOrigin);
@@ -84,5 +110,111 @@
   if (stops) stage.Until([&] { return ended; });
 }
 
+TEST_CASE("handover: a stop lets all that waits in the channel leave before the process ends") {
+  Folder folder;
+  Stage stage({}, {}, "", 1024, 192, folder.Door());
+  HalfSentClients clients(stage);
+  SuccessorPeer successor(stage, folder.Door());
+  successor.Ready();
+  stage.Until([&] { return stage.router.counters().clients_closed == HalfSentClients::kCount; });
+  REQUIRE(successor.Unread() / HalfSentClients::kRead < HalfSentClients::kCount);  // the rest waits
+  bool ended = false;
+  stage.router.Stop([&] { ended = true; });
+  std::vector<handover::Packet> moved;
+  stage.Until([&] {
+    if (successor.NextClient()) moved.push_back(std::move(successor.packet));
+    return moved.size() == HalfSentClients::kCount;
+  });
+  CHECK(std::ranges::all_of(
+      moved, [](const auto& client) { return client.raw.size() == HalfSentClients::kRead && client.file; }));
+  stage.Until([&] { return ended; });
+  CHECK(clients.Closed() == 0);
+}
+
+TEST_CASE(
+    "handover: a request that is unread when its connection moves is answered by the new process, once") {
+  Folder folder;
+  Stage stage(kYes, {}, "", 1024, 192, folder.Door());
+  RawClient client(stage.router.port());
+  REQUIRE(client.Send(kPing));
+  stage.Until([&] { return client.Receive().got == kPong; });
+  client.got.clear();
+  NextRouter next(stage, folder.Door());
+  // Sends after the turn of the loop in which the old process gives the connection up.
+  bool sent = false;
+  while (!sent) {
+    event_base_loop(stage.base.get(), EVLOOP_ONCE);
+    if (stage.router.counters().clients_closed == 1) sent = client.Send(Get(kKey, "c=read,d=1900"));
+  }
+  stage.Until([&] { return client.Receive().got == "$1\r\nv\r\n"; });
+  CHECK(next.router.counters().Sum(&Clients::served) == 1);
+  CHECK(stage.router.counters().transactions == 0);
+  CHECK(stage.member.Count("OBJ.GET") == 1);
+}
+
+TEST_CASE("handover: a large value half read stays with the old process, and its connection moves after it") {
+  Folder folder;
+  const std::string value(1000000, 'x'), whole = Set(kKey, "c=keyed,d=1900,k=1", value);
+  const std::size_t half = whole.size() / 2;
+  Stage stage(
+      {},
+      [&](End& end) {
+        if (end.got.ends_with(value)) end.Say(kStoredByOrigin);
+      },
+      "", 1024, 192, folder.Door());
+  End& writer = stage.Client(whole.substr(0, half));
+  End& idle = stage.Client(kPing);
+  stage.Until([&] { return idle.got == kPong && stage.router.memory().held >= value.size(); });  // booked
+  NextRouter next(stage, folder.Door());
+  stage.Until([&] { return next.router.counters().clients_accepted == 1; });  // the idle one
+  writer.Say(whole.substr(half));
+  stage.Until([&] { return writer.got == kStored; });
+  CHECK(stage.router.counters().Sum(&Clients::served) == 1);
+  CHECK(stage.origin.Count("PUT ") == 1);
+  stage.Until([&] { return next.router.counters().clients_accepted == 2; });
+  writer.got.clear();
+  writer.Say(kPing);
+  stage.Until([&] { return writer.got == kPong; });
+  CHECK(next.router.counters().pings == 1);
+}
+
+TEST_CASE(
+    "handover: a successor killed right after it said that it is ready leaves the old process serving") {
+  Folder folder;
+  Stage stage(kYes, {}, "", 1024, 192, folder.Door());
+  End& before = stage.Client(kPing);
+  stage.Until([&] { return before.got == kPong; });
+  End* between = nullptr;
+  SuccessorPeer successor(stage, folder.Door());
+  SUBCASE("in the same moment") { successor.Send({{"type", "ready"}}); }
+  SUBCASE("while connections wait in the accept queue that only it would take") {
+    successor.Ready();
+    between = &stage.Client(Get(kKey, "c=read,d=1900"));
+    stage.Until([&] { return stage.router.counters().clients_closed == 1; });
+    CHECK(between->got.empty());
+  }
+  successor.Die();
+  if (between != nullptr) stage.Until([&] { return between->got == "$1\r\nv\r\n"; });
+  CHECK(stage.Ask(Get("00000000000000aa", "c=read,d=1900")) == "$1\r\nv\r\n");
+  CHECK(stage.router.life().state() == LifeCycle::State::kServing);
+  CHECK(SuccessorPeer(stage, folder.Door()).packet.type() == "offer");  // another may follow
+}
+
+TEST_CASE("handover: a successor that says nothing hinders neither clients nor, after a second, another") {
+  Folder folder;
+  Stage stage(kYes, {}, "", 1024, 192, folder.Door());
+  handover::FileHandle silent = handover::Dial(folder.Door());
+  REQUIRE(silent);
+  CHECK(stage.Ask(Get(kKey, "c=read,d=1900")) == "$1\r\nv\r\n");
+  handover::FileHandle second = handover::Dial(folder.Door());
+  handover::Packet packet;
+  stage.Until([&] { return handover::ReceivePacket(second.get(), packet) == handover::Got::kPacket; });
+  CHECK(packet.type() == "busy");
+  stage.Until([&] { return handover::ReceivePacket(silent.get(), packet) == handover::Got::kEnd; });
+  CHECK(stage.router.life().state() == LifeCycle::State::kServing);
+  CHECK(SuccessorPeer(stage, folder.Door()).packet.type() == "offer");
+  CHECK(stage.Ask(Get("00000000000000aa", "c=read,d=1900")) == "$1\r\nv\r\n");
+}
+
 }  // namespace
 }  // namespace peatbend::net::test
