--- a/tests/net/handover_test.cpp
+++ b/tests/net/handover_test.cpp
@@ -8,6 +8,7 @@
 #include <thread>
 #include <vector>
 
+#include "net/flood.h"
 #include "net/raw_client.h"
 #include "net/successor_peer.h"
 
@@ -152,6 +153,31 @@
   CHECK(stage.member.Count("OBJ.GET") == 1);
 }
 
+TEST_CASE("handover: a connection moves only after the answers on it are written") {
+  Folder folder;
+  const std::string value(resp::kMaxBody, 'v');
+  const int values = 3;  // more than the sockets of both ends take
+  Stage stage(Stage::Says(Value(value)), {}, "", 1024, 192, folder.Door());
+  RawClient slow(stage.router.port());
+  REQUIRE(slow.Send(FloodOf(values)));
+  End& idle = stage.Client(kPing);
+  stage.Until([&] { return idle.got == kPong && stage.router.memory().held > 0; });
+  NextRouter next(stage, folder.Door());
+  stage.Until([&] { return next.router.counters().clients_accepted == 1; });  // the idle one
+  CHECK(stage.router.life().state() == LifeCycle::State::kHandingOver);
+  std::string all;
+  for (int i = 0; i < values; ++i) all += Bulk(value);
+  stage.Until([&] { return slow.Receive().got.size() >= all.size(); });
+  bool same = slow.got == all;
+  CHECK(same);
+  CHECK(stage.router.counters().Sum(&Clients::served) == values);
+  stage.Until([&] { return next.router.counters().clients_accepted == 2; });
+  slow.got.clear();
+  REQUIRE(slow.Send(kPing));
+  stage.Until([&] { return slow.Receive().got == kPong; });
+  CHECK(next.router.counters().pings == 1);
+}
+
 TEST_CASE("handover: a large value half read stays with the old process, and its connection moves after it") {
   Folder folder;
   const std::string value(1000000, 'x'), whole = Set(kKey, "c=keyed,d=1900,k=1", value);
