--- a/tests/net/customers_test.cpp
+++ b/tests/net/customers_test.cpp
@@ -66,11 +66,7 @@
     End& client = clients_.back();
     client.Connect(port);
     client.Say(command);
-    auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(20);
-    while (!client.got.ends_with("\r\n")) {
-      REQUIRE(std::chrono::steady_clock::now() < limit);
-      event_base_loop(base.get(), EVLOOP_ONCE);
-    }
+    RunUntil(base.get(), [&] { return client.got.ends_with("\r\n"); });
     return client.got;
   }
   std::size_t Requests() const { return backend.Count("OBJ.GET") + origin.Count("X-Facts"); }
--- a/tests/net/stage.h
+++ b/tests/net/stage.h
@@ -26,6 +26,17 @@
   return to;
 }
 
+// Runs the loop until it holds; the limit only ends a test that would hang.
+inline void RunUntil(event_base* base, const std::function<bool()>& holds) {
+  auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(20);
+  while (!holds()) {
+    REQUIRE(std::chrono::steady_clock::now() < limit);
+    timeval turn{0, 2000};
+    event_base_loopexit(base, &turn);
+    event_base_dispatch(base);
+  }
+}
+
 // One end of a connection: what came, and whether the other end has closed.
 class End {
  public:
@@ -149,16 +160,7 @@
         discovery(base.get()),
         router(base.get(), Adjusted(Configured(more, sockets, memory_mb), adjust), {}, door_) {}
 
-  // Runs the loop until it holds.
-  void Until(const std::function<bool()>& holds) {
-    auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(20);
-    while (!holds()) {
-      REQUIRE(std::chrono::steady_clock::now() < limit);
-      timeval turn{0, 2000};
-      event_base_loopexit(base.get(), &turn);
-      event_base_dispatch(base.get());
-    }
-  }
+  void Until(const std::function<bool()>& holds) { RunUntil(base.get(), holds); }
   // Runs the loop for longer than a member's connection rests between requests.
   void Rest() {
     auto from = std::chrono::steady_clock::now();
--- a/tests/net/watch_stage.h
+++ b/tests/net/watch_stage.h
@@ -46,15 +46,7 @@
                  });
     pool->Watch();
   }
-  void Until(const std::function<bool()>& holds) {
-    auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(20);
-    while (!holds()) {
-      REQUIRE(std::chrono::steady_clock::now() < limit);
-      timeval turn{0, 2000};
-      event_base_loopexit(base.get(), &turn);
-      event_base_dispatch(base.get());
-    }
-  }
+  void Until(const std::function<bool()>& holds) { RunUntil(base.get(), holds); }
   // Waits for the watch's request number `count`, and answers with this.
   End& Answer(const std::string& text, std::size_t count = 1) {
     Until([&] { return discovery.Count("\r\n\r\n") == count; });
