--- a/src/config/keys.cpp
+++ b/src/config/keys.cpp
@@ -39,6 +39,8 @@
      Time{0, 60000, [](Tuning& t) -> net::Milliseconds& { return t.clients.about_to_ask; }}},
     {"members.idle_share", Share{[](Tuning& t) -> double& { return t.members.idle_share; }}},
     {"members.settle_ms", Time{0, 1000, [](Tuning& t) -> net::Milliseconds& { return t.members.settle; }}},
+    {"members.settle_unsolicited_ms",
+     Time{0, 1000, [](Tuning& t) -> net::Milliseconds& { return t.members.settle_unsolicited; }}},
     {"members.dial_timeout_ms",
      Time{1, 60000, [](Tuning& t) -> net::Milliseconds& { return t.members.dial_timeout; }}},
     {"members.keepalive_ms",
--- a/src/member/member_connections.cpp
+++ b/src/member/member_connections.cpp
@@ -73,6 +73,11 @@
          (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
+bool MemberConnection::HasUnreadBytes() const {
+  char byte = 0;
+  return recv(bufferevent_getfd(socket_.get()), &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
+}
+
 bool MemberConnection::written() const {
   return begun_ && evbuffer_get_length(bufferevent_get_output(socket_.get())) == 0;
 }
@@ -86,18 +91,27 @@
   Written();                             // an answer may be read before the loop tells of the write
   if (attempt_ == nullptr || !begun_) {  // nobody asked
     ++home_.counters_.closed_as_stray;
+    NoteUnsolicitedBytes();
     return Break();
   }
   if (paused_) return;
   auto reply = codec_->Read(bufferevent_get_input(socket_.get()));
   if ((!reply || began_) && !PassOn(reply ? reply->value.get() : nullptr)) return;
   if (reply) {
-    bool keep =
-        codec_->reusable() && written() && evbuffer_get_length(bufferevent_get_input(socket_.get())) == 0;
-    Finish(std::move(*reply), keep);
+    bool more = evbuffer_get_length(bufferevent_get_input(socket_.get())) > 0;
+    if (more) NoteUnsolicitedBytes();
+    Finish(std::move(*reply), codec_->reusable() && written() && !more);
   }
 }
 
+// A server that has answered a request twice may do so again, and later: its connections settle for longer
+// before they are used again, until it moves or starts anew.
+void MemberConnection::NoteUnsolicitedBytes() {
+  if (member_.unsolicited_bytes) return;
+  member_.unsolicited_bytes = true;
+  home_.log_.Line("unsolicited bytes", member_.name + " has sent some that answer no request");
+}
+
 // Passes on what has come of a large value, `last` being the rest of it; false if the connection is gone, or
 // is to wait.
 bool MemberConnection::PassOn(evbuffer* last) {
@@ -199,8 +213,9 @@
     }
     // What stands open leads to another process, or to one that gets nothing new. An older start is a late
     // list's.
-    if (moved || entry.entry.started > member.started || entry.entry.listed != Listed::kReady)
-      Outdate(member);
+    bool other_process = moved || entry.entry.started > member.started;
+    if (other_process || entry.entry.listed != Listed::kReady) Outdate(member);
+    if (other_process) member.unsolicited_bytes = false;
     member.started = std::max(member.started, entry.entry.started);
   }
   for (auto& [name, member] : members_) BoundBegins(member);
@@ -266,7 +281,7 @@
 // the last one, noise): they would be read as the answer to the next request. One on which any have come is
 // closed.
 MemberConnection* MemberConnections::TakeIdle(Member& member) {
-  TimePoint rested = clock_.Now() - tuning_.settle;
+  TimePoint rested = clock_.Now() - SettleTime(member);
   for (std::size_t i = member.idle.size(); i-- > 0;) {
     MemberConnection* connection = member.idle[i];
     if (connection->idle_since_ > rested) continue;
@@ -275,11 +290,17 @@
       return connection;
     }
     ++counters_.closed_as_stray;
+    if (connection->HasUnreadBytes()) connection->NoteUnsolicitedBytes();
     Close(*connection);
   }
   return nullptr;
 }
 
+// For which a connection stands idle after an answer before it is used again.
+Duration MemberConnections::SettleTime(const Member& member) const {
+  return member.unsolicited_bytes ? tuning_.settle_unsolicited : tuning_.settle;
+}
+
 void MemberConnections::Idle(MemberConnection& connection) {
   if (connection.member_.gone || connection.outdated_) return Close(connection);
   Duration idle = settings_.keepalive > Duration::zero() ? settings_.keepalive : Duration(tuning_.keepalive);
--- a/src/member/member_connections.h
+++ b/src/member/member_connections.h
@@ -48,6 +48,8 @@
   void Abandon();
   // Whether nothing has come on it since the last answer, nor the other end closed it.
   bool Quiet() const;
+  // Whether bytes have come that nobody has read.
+  bool HasUnreadBytes() const;
   // After a piece that was the last for a while.
   void Resume();
   // Whether the request's last byte was handed to the socket. Queued here is not written.
@@ -71,6 +73,7 @@
   void Break();
   void OutOfTime();
   void ArmDialTimer();
+  void NoteUnsolicitedBytes();
 
   MemberConnections& home_;
   Member& member_;
@@ -96,6 +99,7 @@
   int to_size = 0;
   TimePoint started{};  // its process, as listed
   bool origin = false, gone = false, draining = false;
+  bool unsolicited_bytes = false;  // its process has sent some that answer no request
   TimePoint begin_until = TimePoint::max();  // no attempt begins later: it drains, or has gone
   std::list<std::unique_ptr<MemberConnection>> connections;
   std::vector<MemberConnection*> idle;  // the last used last
@@ -118,6 +122,7 @@
   friend class MemberConnection;
   void Close(MemberConnection& connection);
   void Idle(MemberConnection& connection);
+  Duration SettleTime(const Member& member) const;
   bool MakeRoom();
   MemberConnection* TakeIdle(Member& member);
   void BoundBegins(Member& member);
