--- a/tests/compat/schemas_processes_test.cpp
+++ b/tests/compat/schemas_processes_test.cpp
@@ -301,7 +301,8 @@
       CHECK(fleet.Takes(i, false, 0, ",rd=ann,rv=1"));
     }
     REQUIRE(fleet.fleet().Agree(20s));
-    // It has no folder, so it votes by the words of both others; until then the next death would be a second one.
+    // It has no folder, so it votes by the words of both others; until then the next death would be a second
+    // one.
     CHECK(Fleet::Until([&] { return fleet.Votes(seat); }));
   }
 }
--- a/tests/rations/crowd.h
+++ b/tests/rations/crowd.h
@@ -11,6 +11,7 @@
 #include <charconv>
 #include <chrono>
 #include <deque>
+#include <functional>
 #include <list>
 #include <mutex>
 #include <numeric>
@@ -230,9 +231,11 @@
       std::ranges::count_if(admissions_, [&](const Admission& one) { return one.sent >= from; }));
 }
 
+using AheadWithin = std::function<double(Clock::time_point from, Clock::time_point to)>;
+
 // By how many admissions the worst stretch of time is above burst + rate x T + ahead; of all stretches of any
 // length. Only what was sent and answered within it counts, so that what is found has happened.
-inline double MostAbove(std::vector<Admission> all, double rate, double burst, double ahead) {
+inline double MostAbove(std::vector<Admission> all, double rate, double burst, const AheadWithin& ahead) {
   double worst = -1e9;
   std::ranges::sort(all, {}, &Admission::received);
   for (const Admission& first : all) {
@@ -240,10 +243,14 @@
     for (const Admission& one : all) {
       if (one.sent < first.sent) continue;
       double s = std::chrono::duration<double>(one.received - first.sent).count();
-      worst = std::max(worst, ++count - burst - rate * s - ahead);
+      worst = std::max(worst, ++count - burst - rate * s - ahead(first.sent, one.received));
     }
   }
   return worst;
 }
+inline double MostAbove(std::vector<Admission> all, double rate, double burst, double ahead) {
+  return MostAbove(std::move(all), rate, burst,
+                   [ahead](Clock::time_point, Clock::time_point) { return ahead; });
+}
 
 }  // namespace peatbend::rations::test
--- a/tests/rations/processes_test.cpp
+++ b/tests/rations/processes_test.cpp
@@ -207,7 +207,9 @@
 TEST_CASE("rations upgrade: new processes on the same addresses; the old ones use what is in hand") {
   Rig rig(5, BookOf(kSaved), 3, 5);
   UseHalf(rig);
+  std::vector<Rig::Upgrade> upgrades;
   for (std::size_t i : {rig.Keeper(), std::size_t{0}, std::size_t{1}, std::size_t{4}}) {
+    auto begun = Clock::now();
     pid_t old = rig.Follow(i);
     CHECK(rig.Until([&] { return rig.Log(i).find("a new process takes clients") != std::string::npos; }, 3s));
     CHECK(rig.Flows(5, 2s));
@@ -215,8 +217,9 @@
     int status = -1;
     waitpid(old, &status, 0);
     CHECK(status == 0);
+    upgrades.push_back({begun, Clock::now()});
   }
-  rig.CheckBound(kSaved, 6);
+  rig.CheckBound(kSaved, 5, upgrades);
 }
 
 TEST_CASE("rations upgrade: the book read last holds on when the process that followed is lost") {
@@ -318,7 +321,8 @@
     Rig rig(3, "");
     rig.Pause(500ms);
     without = Holds(rig, 0);
-    for (const auto& [name, value] : rig.Figures(0)) CHECK_FALSE((name.starts_with("rations") || name.starts_with("publications")));
+    for (const auto& [name, value] : rig.Figures(0))
+      CHECK_FALSE((name.starts_with("rations") || name.starts_with("publications")));
     CHECK(rig.Log(0).find("rations") == std::string::npos);
   }
   Rig rig(3, BookOf(kEven));
