--- a/src/member/member_connections.cpp
+++ b/src/member/member_connections.cpp
@@ -37,7 +37,7 @@
   attempt_ = &attempt;
   request_ = &request;
   deadline_ = times.deadline;
-  begun_ = dispatched_ = began_ = paused_ = false;
+  begun_ = dispatched_ = passing_value_ = paused_ = false;
   begin_by_ = times.begin_by;
   if (!connected_) return ArmDialTimer();
   timer_.Stop();
@@ -96,7 +96,7 @@
   }
   if (paused_) return;
   auto reply = codec_->Read(bufferevent_get_input(socket_.get()));
-  if ((!reply || began_) && !PassOn(reply ? reply->value.get() : nullptr)) return;
+  if ((!reply || passing_value_) && !PassOn(reply ? reply->value.get() : nullptr)) return;
   if (reply) {
     bool more = evbuffer_get_length(bufferevent_get_input(socket_.get())) > 0;
     if (more) NoteUnsolicitedBytes();
@@ -115,9 +115,9 @@
 // Passes on what has come of a large value, `last` being the rest of it; false if the connection is gone, or
 // is to wait.
 bool MemberConnection::PassOn(evbuffer* last) {
-  if (!codec_->Streams() && !began_) return true;
-  if (!began_) {
-    began_ = true;
+  if (!codec_->Streams() && !passing_value_) return true;
+  if (!passing_value_) {
+    passing_value_ = true;
     bufferevent_setwatermark(socket_.get(), EV_READ, 0, kMostUnread);
     if (!attempt_->Began(*codec_->Streams())) return false;
   }
@@ -146,7 +146,7 @@
     ++home_.counters_.member_malformed;
     home_.log_.Line("member malformed", member_.name + ": " + std::string(reply.complaint));
   }
-  if (std::exchange(began_, false)) bufferevent_setwatermark(socket_.get(), EV_READ, 0, 0);
+  if (std::exchange(passing_value_, false)) bufferevent_setwatermark(socket_.get(), EV_READ, 0, 0);
   if (std::exchange(paused_, false)) bufferevent_enable(socket_.get(), EV_READ);
   Attempt* attempt = std::exchange(attempt_, nullptr);
   keep ? home_.Idle(*this) : home_.Close(*this);
--- a/src/member/member_connections.h
+++ b/src/member/member_connections.h
@@ -83,9 +83,10 @@
   TimePoint deadline_{};              // the attempt's, told to the server
   TimePoint up_by_{}, begin_by_{};    // of a dial, and of the attempt that waits for it
   bool connected_ = false;
-  bool begun_ = false;                   // the attempt's first byte was handed to the socket
-  bool dispatched_ = false;              // its last byte was, and counted
-  bool began_ = false, paused_ = false;  // the answer's value is being passed on; and is not read for now
+  bool begun_ = false;          // the attempt's first byte was handed to the socket
+  bool dispatched_ = false;     // its last byte was, and counted
+  bool passing_value_ = false;  // the answer's value is being passed on, piece by piece
+  bool paused_ = false;         // and its next piece is not read for now
   bool outdated_ = false;  // the member has moved or started anew since it was dialled: ends with its attempt
   TimePoint idle_since_{};
   std::list<std::unique_ptr<MemberConnection>>::iterator self_;
@@ -99,7 +100,7 @@
   int to_size = 0;
   TimePoint started{};  // its process, as listed
   bool origin = false, gone = false, draining = false;
-  bool unsolicited_bytes = false;  // its process has sent some that answer no request
+  bool unsolicited_bytes = false;            // its process has sent some that answer no request
   TimePoint begin_until = TimePoint::max();  // no attempt begins later: it drains, or has gone
   std::list<std::unique_ptr<MemberConnection>> connections;
   std::vector<MemberConnection*> idle;  // the last used last
