--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -20,9 +20,14 @@
 constexpr double kMegabyte = 1024.0 * 1024;
 // After LEAVE: the front may not have asked PING yet, and still sends clients.
 constexpr std::chrono::milliseconds kLateClients{400};
-// How often the successor is told what is free for it; of the descriptors held then, for flows that go on.
+// How often the successor is told what is free for it.
 constexpr std::chrono::milliseconds kTellKeepsEvery{50}, kEndAgain{5};
+// While handing over: sockets kept beyond those held and those of waiting requests, for what comes yet on
+// clients' connections that stay, such as the rest of a large value.
 constexpr std::int64_t kForFlows = 4;
+// Of the sockets that are free when the successor is ready, at most this part is kept for requests that wait
+// for a server: the successor serves with the rest.
+constexpr std::int64_t kWaitingDivisor = 2;
 // After SIGTERM the platform waits for the longest deadline, and for this at most, before it kills. The last
 // answers are given so long before the program ends.
 constexpr std::chrono::milliseconds kLongestWait{3000}, kForLastAnswers{50};
@@ -217,7 +222,7 @@
   std::int64_t most = running_.sockets - Others(running_) - predecessor_keeps_;
   if (!door_.empty()) most -= kSuccessorDescriptors;
   bool over = life_.rest() == Doors::Rest::kGoesToSuccessor;  // then it only falls
-  if (over) most = std::min(most, static_cast<std::int64_t>(sockets_.held) + kForFlows);
+  if (over) most = std::min({most, static_cast<std::int64_t>(sockets_.most), SocketsWhileHandingOver()});
   sockets_.most = static_cast<std::size_t>(std::max<std::int64_t>(most, 0));
   auto values = static_cast<std::int64_t>(static_cast<double>(running_.memory_mb) * kMegabyte * kValuesShare);
   values -= predecessor_memory_;
@@ -225,16 +230,31 @@
   memory_.most = static_cast<std::size_t>(std::max<std::int64_t>(values, 0));
 }
 
+// A request needs one socket at a time: the connection of an attempt that has ended is closed, or stands idle
+// and is closed where the next attempt needs its place.
+std::int64_t Router::SocketsWhileHandingOver() const {
+  std::int64_t needed = static_cast<std::int64_t>(sockets_.held) + kForFlows;
+  std::int64_t of_both = 2 * Others(running_) + kSuccessorDescriptors + predecessor_keeps_;
+  std::int64_t free = std::max<std::int64_t>(running_.sockets - of_both - needed, 0);
+  auto waiting = static_cast<std::int64_t>(decision_.waiting_for_server());
+  return needed + std::min(waiting, free / kWaitingDivisor);
+}
+
 void Router::TellKeeps() {
   if (life_.rest() != Doors::Rest::kGoesToSuccessor) return;
   auto before = std::pair(sockets_.most, memory_.most);
-  sockets_.most = std::min(sockets_.most, sockets_.held + static_cast<std::size_t>(kForFlows));
+  sockets_.most = std::min(sockets_.most, static_cast<std::size_t>(SocketsWhileHandingOver()));
   memory_.most = std::min(memory_.most, memory_.held);
   if (std::pair(sockets_.most, memory_.most) != before) successor_.TellKeeps(Keeps());
+  // Free by the time that the successor is told next.
+  if (decision_.waiting_for_server() == 0) connections_.CloseAllIdle();
   tell_keeps_.Set(kTellKeepsEvery);
 }
 
 void Router::PredecessorKeeps(std::int64_t keeps, std::int64_t memory) {
+  // While it hands over what it may hold falls, but for what passes to it from the process before.
+  std::int64_t passed = std::max<std::int64_t>(predecessor_keeps_ - keeps, 0);
+  sockets_.most += static_cast<std::size_t>(passed);
   predecessor_keeps_ = keeps;
   predecessor_memory_ = memory;
   Share();
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -64,6 +64,8 @@
   // The descriptors and the memory for large values that this process may hold, with its predecessor's part
   // taken off. While it hands over they only fall.
   void Share();
+  // While it hands over: the sockets that it may hold at most, with those that open requests may need yet.
+  std::int64_t SocketsWhileHandingOver() const;
   handover::Successor::Keeps Keeps() const;
   void TellKeeps();
   handover::Successor::Offer MakeOffer();
--- a/src/stage/decision.cpp
+++ b/src/stage/decision.cpp
@@ -354,6 +354,11 @@
   return at == transactions_.end() ? nullptr : at->second.get();
 }
 
+std::size_t Decision::waiting_for_server() const {
+  auto waits = [](const auto& entry) { return entry.second->waits_for_server(); };
+  return static_cast<std::size_t>(std::ranges::count_if(transactions_, waits));
+}
+
 ServerSideFlow* Decision::StreamOf(Transaction& transaction) {
   int attempt = transaction.streams();
   return attempt < 0 ? nullptr : transaction.flows()[static_cast<std::size_t>(attempt)].get();
--- a/src/stage/decision.h
+++ b/src/stage/decision.h
@@ -65,6 +65,8 @@
 
   std::size_t transactions() const { return transactions_.size(); }
   std::size_t open() const { return open_ids_.size(); }  // taken and not yet answered
+  // Requests that are open and have no connection to a server: each may need one yet.
+  std::size_t waiting_for_server() const;
   const Balancer& balancer() const { return balancer_; }
   // Called once, when there is a pool to serve from.
   void OnReady(std::function<void()> then) { on_ready_ = std::move(then); }
--- a/src/stage/server_side_flow.h
+++ b/src/stage/server_side_flow.h
@@ -44,6 +44,8 @@
   void Cancel();
   // Whether it waits for its connection to come up, so that nothing of it has been written.
   bool dialling() const;
+  // Whether it has a connection to its server, up or dialling.
+  bool has_connection() const { return connection_ != nullptr; }
 
   // More of a large value may come, after Next::kWait.
   void GoOn();
--- a/src/stage/transaction.cpp
+++ b/src/stage/transaction.cpp
@@ -1,5 +1,6 @@
 #include "stage/transaction.h"
 
+#include <algorithm>
 #include <utility>
 
 namespace peatbend::net {
@@ -48,6 +49,11 @@
   client->Ends(place_, whole);
 }
 
+bool Transaction::waits_for_server() const {
+  if (closed()) return false;
+  return std::ranges::none_of(flows_, [](const auto& flow) { return flow && flow->has_connection(); });
+}
+
 void Transaction::GiveUpUnbegun() {
   for (auto& flow : flows_) {
     if (flow && flow->dialling()) flow->Cancel();
--- a/src/stage/transaction.h
+++ b/src/stage/transaction.h
@@ -39,6 +39,8 @@
   bool finished() const { return client_ == nullptr; }
   // Whether no attempt may begin any more: it is finished, or about to be, or one brings its value.
   bool closed() const { return finished() || ending || streams_ >= 0; }
+  // Whether it has no connection to a server, and an attempt may still need one.
+  bool waits_for_server() const;
   // The latest time at which an attempt may begin that must begin `within` so long; max(): whenever it can.
   TimePoint BeginBy(TimePoint now, Duration within) const {
     return within < deadline_ - now ? now + within : TimePoint::max();
--- a/tests/net/handover_test.cpp
+++ b/tests/net/handover_test.cpp
@@ -1,14 +1,12 @@
 // What crosses a handover: clients, bytes and ends that meet it at the worst moment. On real sockets, with a
 // successor that does what the test says; upgrade_test.cpp shows the whole course of an upgrade.
 #include <algorithm>
-#include <atomic>
 #include <list>
-#include <optional>
 #include <string>
-#include <thread>
 #include <vector>
 
 #include "net/flood.h"
+#include "net/next_router.h"
 #include "net/raw_client.h"
 #include "net/successor_peer.h"
 
@@ -55,27 +53,6 @@
   std::list<Client> clients;
 };
 
-// The process that follows, on the loop of the stage; it has connected and not yet said that it is ready.
-struct NextRouter {
-  NextRouter(Stage& stage, const std::string& door)
-      : inherited(Asked(stage, door)),
-        router(stage.base.get(), stage.Configured(), std::move(inherited), door) {}
-  static handover::Inheritance Asked(Stage& stage, const std::string& door) {
-    std::optional<handover::Inheritance> got;
-    std::atomic<bool> done = false;
-    std::thread asks([&] {
-      got = handover::AskPredecessor(door, std::chrono::seconds(3), [](std::string_view) {});
-      done = true;
-    });
-    stage.Until([&] { return done.load(); });
-    asks.join();
-    REQUIRE(got.has_value());
-    return std::move(*got);
-  }
-  std::optional<handover::Inheritance> inherited;
-  Router router;
-};
-
 Stage::Answer Stores() {
   return [value = std::string(HalfSentClients::kRead, 'x')](End& end) {
     if (end.got.ends_with(value)) end.Say(kStoredByOrigin);
