--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -17,6 +17,8 @@
 constexpr std::int64_t kOtherDescriptors = 13;
 // What a process that follows holds before it is told how many it may hold.
 constexpr std::int64_t kSuccessorDescriptors = 12;
+// It accepts no client before, having no socket for a request, but for this time at most.
+constexpr std::chrono::milliseconds kRoomKnownWithin{1000};
 constexpr double kMegabyte = 1024.0 * 1024;
 // After LEAVE: the front may not have asked PING yet, and still sends clients.
 constexpr std::chrono::milliseconds kLateClients{400};
@@ -72,6 +74,7 @@
       log_(config.name, config.tuning.log, clock_),
       predecessor_keeps_(inherited ? inherited->keeps : 0),
       predecessor_memory_(inherited ? inherited->memory : 0),
+      room_known_(!inherited),
       connections_(base, running_.settings, running_.tuning.members, sockets_, clock_, log_, counters_),
       decision_(
           base, running_.settings, config.seed, connections_, [this] { pool_.KeepWatching(); }, clock_, log_,
@@ -103,7 +106,8 @@
                       if (!std::exchange(ended_, true)) then_();
                     }),
       tell_keeps_(base, [this] { TellKeeps(); }),
-      end_(base, [this] { End(); }) {
+      end_(base, [this] { End(); }),
+      room_late_(base, [this] { RoomKnown(); }) {
   running_.known = {};  // read once; the list moves on without it
   Share();
   if (!config.admin.empty()) admin_ = std::make_unique<AdminServer>(base, config.admin, *this, clock_, log_);
@@ -121,6 +125,8 @@
         handover::Predecessor::Calls{
             .client = [this](handover::ClientHandle client) { Adopt(std::move(client)); },
             .keeps = [this](std::int64_t keeps, std::int64_t memory) { PredecessorKeeps(keeps, memory); }});
+    listener_.Accept(accepts());
+    room_late_.Set(kRoomKnownWithin);
     predecessor_->Ready();
   }
   decision_.PoolNews(Scope::kCached, std::move(entries));
@@ -133,7 +139,7 @@
 
 void Router::Moved() {
   if (std::exchange(told_, life_.name()) != life_.name()) log_.Line("life", life_.name());
-  listener_.Accept(life_.state() != LifeCycle::State::kHandingOver);
+  listener_.Accept(accepts());
   if (life_.state() == LifeCycle::State::kFinishing) {
     listener_.Stop([this] { End(); });
   } else if (life_.rest() != Doors::Rest::kStays) {
@@ -258,10 +264,16 @@
   predecessor_keeps_ = keeps;
   predecessor_memory_ = memory;
   Share();
+  RoomKnown();
   if (life_.rest() == Doors::Rest::kGoesToSuccessor) successor_.TellKeeps(Keeps());
   if (keeps == 0) log_.Line("handover", "the process before has gone");
 }
 
+void Router::RoomKnown() {
+  room_late_.Stop();
+  if (!std::exchange(room_known_, true)) listener_.Accept(accepts());
+}
+
 handover::Successor::Offer Router::MakeOffer() {
   handover::Successor::Offer offer;
   offer.listener = listener_.socket();
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -75,6 +75,10 @@
   void SuccessorLost(std::vector<handover::ClientHandle> clients);
   void Adopt(handover::ClientHandle client);
   void PredecessorKeeps(std::int64_t keeps, std::int64_t memory);
+  // Whether new connections are accepted: neither while it hands over, nor before its room is known.
+  bool accepts() const { return room_known_ && life_.state() != LifeCycle::State::kHandingOver; }
+  // The process before has told what it keeps, or has not told it in time.
+  void RoomKnown();
   void End();
   void TakeBook(const Config& config);
   // Makes this one of its fleet, where that is configured.
@@ -88,6 +92,7 @@
   LifeCycle life_;
   std::string_view told_;  // its name as last logged
   std::int64_t predecessor_keeps_ = 0, predecessor_memory_ = 0;
+  bool room_known_;  // the process before has told what it keeps while it hands over, or there is none
   SocketBudget sockets_;
   MemoryBudget memory_;
   MemberConnections connections_;
@@ -106,7 +111,7 @@
   std::function<void()> then_;
   bool ended_ = false;
   std::string door_;
-  Timer late_clients_over_, stop_at_last_, tell_keeps_, end_;
+  Timer late_clients_over_, stop_at_last_, tell_keeps_, end_, room_late_;
 };
 
 }  // namespace peatbend::net
--- a/tests/net/handover_waiting_test.cpp
+++ b/tests/net/handover_waiting_test.cpp
@@ -1,12 +1,15 @@
 // Requests that wait for a server at the moment of a handover: the old process answers each of them, the new
 // one serves meanwhile, and both together keep to the descriptors of one. Servers hold their answers until
 // the test lets them go.
+#include <sys/socket.h>
+
 #include <algorithm>
 #include <cstddef>
 #include <string>
 #include <utility>
 #include <vector>
 
+#include "base/listen.h"
 #include "net/next_router.h"
 
 namespace peatbend::net::test {
@@ -193,5 +196,41 @@
   CHECK(upgrade.most_descriptors <= upgrade.limit);
 }
 
+// It could send nothing on, and would reject what comes.
+TEST_CASE("handover: a new process accepts nobody before it is told which descriptors it may hold") {
+  Folder folder;
+  Stage stage(kYes, {}, "", 1024, 192, folder.Door());
+  int ends[2];
+  REQUIRE(socketpair(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, ends) == 0);
+  handover::FileHandle old_process(ends[0]);
+  handover::Inheritance inherited;
+  inherited.channel = handover::FileHandle(ends[1]);
+  inherited.listener = handover::FileHandle(ListenOn("127.0.0.1:0", 16, true));
+  inherited.keeps = 1012;  // all but what a new process holds by then
+  for (const Peer* peer : {&stage.member, &stage.origin}) {
+    std::string name = peer == &stage.origin ? "origin" : "box-1";
+    inherited.endpoints.push_back(nlohmann::json::parse(Member(name, peer->port)));
+  }
+  Router next(stage.base.get(), stage.Configured(), std::move(inherited));
+  End& client = stage.clients.emplace_back(stage.base.get(), -1);
+  client.Connect(next.port());
+  client.Say(Get(kKey, kFacts));
+  handover::Packet packet;
+  stage.Until([&] { return handover::ReceivePacket(old_process.get(), packet) == handover::Got::kPacket; });
+  CHECK(packet.type() == "ready");
+  CHECK(Call(stage, next, "HEALTH\n") == "ok serving\n");
+  CHECK(next.counters().clients_accepted == 0);
+  std::string expected = "$1\r\nv\r\n";
+  SUBCASE("it is told") {
+    REQUIRE(handover::SendPacket(old_process.get(), {{{"type", "keeps"}, {"keeps", 100}}, "", {}}));
+  }
+  SUBCASE("the old process ends without a word") { old_process = {}; }
+  SUBCASE("the old process hangs: after a second clients are told to come again") {
+    expected = "-BUSY 500\r\n";
+  }
+  stage.Until([&] { return !client.got.empty(); });
+  CHECK(client.got == expected);
+}
+
 }  // namespace
 }  // namespace peatbend::net::test
