--- a/tests/net/broken_answers_test.cpp
+++ b/tests/net/broken_answers_test.cpp
@@ -241,5 +241,24 @@
   CHECK(stage.router.counters().flows == 2);
 }
 
+// A timer that is set late in a turn of the loop fires early by as long as the turn had lasted. The module
+// would take what was left for time for another attempt.
+TEST_CASE("out of time: an attempt that a slow turn of the loop has begun ends no sooner than its limit") {
+  using std::chrono::steady_clock;
+  constexpr std::chrono::milliseconds kTurn{40}, kLimit{100};
+  RawServer server;
+  Flows flows;
+  flows.Serve(server.port);
+  Timer turn(flows.stage.base.get(), [&] {
+    for (auto until = steady_clock::now() + kTurn; steady_clock::now() < until;) {
+    }
+    flows.Start(kFlowWaits, kLimit);
+  });
+  turn.SetNow();
+  flows.UntilItsOutcome();
+  CHECK(flows.outcome == Result::kLate);
+  CHECK(flows.elapsed >= kLimit);
+}
+
 }  // namespace
 }  // namespace peatbend::net::test
--- a/tests/net/flows_stage.h
+++ b/tests/net/flows_stage.h
@@ -32,17 +32,18 @@
     ReadAddress(entry.address, entry.to, entry.to_size);
     connections_.Learn(Scope::kFull, {entry});
   }
-  void FlowEnded(ServerSideFlow&, FlowReply reply) override {
+  void FlowEnded(ServerSideFlow& flow, FlowReply reply) override {
     ++ends;
+    elapsed = flow.elapsed();
     outcome = reply.result;
   }
   bool FlowBegan(ServerSideFlow&, std::size_t) override { return false; }
   Next FlowPiece(ServerSideFlow&, evbuffer*) override { return Next::kNotWanted; }
 
   // An attempt that must begin within that time.
-  void Start(Duration begin_within = kFlowWaits) {
+  void Start(Duration begin_within = kFlowWaits, Duration limit = kFlowWaits) {
     flow_.emplace(*this, stage.base.get(), clock_, RequestId{1}, 0, "box-1");
-    flow_->Start(connections_, request_, kFlowWaits, clock_.Now() + begin_within);
+    flow_->Start(connections_, request_, limit, clock_.Now() + begin_within);
   }
   void UntilItsOutcome() {
     stage.Until([&] { return ends > 0; });
@@ -51,6 +52,7 @@
   Stage stage;
   int ends = 0;
   std::optional<Result> outcome;
+  Duration elapsed{};  // to its outcome
   Counters counters;
 
  private:
