--- a/src/config/file.cpp
+++ b/src/config/file.cpp
@@ -72,6 +72,9 @@
         Walk((*array)[i], key + "." + std::to_string(i), pattern + ".*");
       return;
     }
+    if (std::string_view new_name = NewName(pattern); !new_name.empty()) {
+      return Fault(node, key, fmt::format("renamed to {}", new_name));
+    }
     if (std::ranges::find(known_, pattern) == known_.end()) {
       return Fault(node, key, "not known; the nearest known name is " + Nearest(pattern, known_));
     }
--- a/src/config/keys.cpp
+++ b/src/config/keys.cpp
@@ -43,8 +43,9 @@
      Time{1, 60000, [](Tuning& t) -> net::Milliseconds& { return t.members.dial_timeout; }}},
     {"members.keepalive_ms",
      Time{10, 86400000, [](Tuning& t) -> net::Milliseconds& { return t.members.keepalive; }}},
-    {"pool.silence_ms", Time{100, 600000, [](Tuning& t) -> net::Milliseconds& { return t.pool.silence; }}},
-    {"pool.line_kb", WholeNumber{4, 65536, [](Tuning& t) -> std::int64_t& { return t.pool.line_kb; }}},
+    {"discovery.silence_ms",
+     Time{100, 600000, [](Tuning& t) -> net::Milliseconds& { return t.pool.silence; }}},
+    {"discovery.list_kb", WholeNumber{4, 65536, [](Tuning& t) -> std::int64_t& { return t.pool.line_kb; }}},
     {"memory.unread_share", Share{[](Tuning& t) -> double& { return t.memory.unread_share; }}},
     {"stop.keep_listening_ms",
      Time{0, 60000, [](Tuning& t) -> net::Milliseconds& { return t.stop.keep_listening; }}},
@@ -76,6 +77,12 @@
      WholeNumber{1, 100000, [](Tuning& t) -> std::int64_t& { return t.overload.dials_per_second; }}},
 };
 
+// To be taken out after two releases.
+constexpr RenamedKey kRenamed[] = {
+    {"pool.silence_ms", "discovery.silence_ms"},
+    {"pool.line_kb", "discovery.list_kb"},
+};
+
 constexpr std::string_view kDeployment[] = {"classes.*.name",
                                             "classes.*.objective",
                                             "classes.*.deadline",
@@ -148,6 +155,13 @@
 
 std::span<const TuningKey> TuningKeys() { return kKeys; }
 
+std::span<const RenamedKey> RenamedKeys() { return kRenamed; }
+
+std::string_view NewName(std::string_view old_name) {
+  const RenamedKey* found = std::ranges::find(kRenamed, old_name, &RenamedKey::old_name);
+  return found == std::end(kRenamed) ? std::string_view() : found->new_name;
+}
+
 std::string Shown(const TuningKey& key, const Tuning& tuning) {
   Tuning copy = tuning;
   return std::visit(Overloaded{[&](const WholeNumber& n) { return fmt::format("{}", n.at(copy)); },
--- a/src/config/keys.h
+++ b/src/config/keys.h
@@ -35,7 +35,15 @@
   std::variant<WholeNumber, Share, Time, Word> value;
 };
 
+// A key that was renamed. The old name is an error that tells the new one.
+struct RenamedKey {
+  std::string_view old_name, new_name;  // of the whole path; * stands for a place in a list
+};
+
 std::span<const TuningKey> TuningKeys();
+std::span<const RenamedKey> RenamedKeys();
+// The name that `old_name` has now; empty if no key was renamed from it.
+std::string_view NewName(std::string_view old_name);
 // The key's value in `tuning`, as the file would state it.
 std::string Shown(const TuningKey& key, const net::Tuning& tuning);
 // What the value may be, as docs/configuration.md words it: "1 to 100000", "text or json".
--- a/src/pool/list_frames.cpp
+++ b/src/pool/list_frames.cpp
@@ -34,7 +34,7 @@
   while (!whole && size < text.size()) whole = Ends(text[size++]);
   if (list_.size() + size > most_) {
     list_ = {};
-    error_ = "a list over " + std::to_string(most_ / 1024) + " KiB (pool.line_kb)";
+    error_ = "a list over " + std::to_string(most_ / 1024) + " KiB (discovery.list_kb)";
     return Found::kBad;
   }
   list_.append(text.substr(0, size));
--- a/tests/net/config_test.cpp
+++ b/tests/net/config_test.cpp
@@ -100,6 +100,34 @@
   }
 }
 
+TEST_CASE("a renamed key of the TOML file is an error that tells its line and its new name, which is known") {
+  auto errors = [](const std::string& key, const std::string& value) {
+    std::size_t dot = key.rfind('.');
+    std::vector<std::string> found;
+    ReadConfigFile("[" + key.substr(0, dot) + "]\n" + key.substr(dot + 1) + " = " + value, "f.toml", found);
+    return found;
+  };
+  CHECK(!RenamedKeys().empty());
+  for (const RenamedKey& key : RenamedKeys()) {
+    std::string old_name(key.old_name), new_name(key.new_name);
+    CAPTURE(old_name);
+    CHECK(errors(old_name, "1000") ==
+          std::vector<std::string>{"f.toml:2: " + old_name + ": renamed to " + new_name});
+    for (const std::string& error : errors(new_name, "2020-01-01")) {  // of no key's type
+      CHECK(error.find("not known") == std::string::npos);
+      CHECK(error.find("renamed") == std::string::npos);
+    }
+  }
+  std::vector<std::string> both;
+  ReadConfigFile(
+      "[pool]\nline_kb = 8\nsilence_ms = \"never\"\n[discovery]\nlist_kb = 8\n[clients]\nidel_ms = 3\n",
+      "f.toml", both);
+  CHECK(both == std::vector<std::string>{
+                    "f.toml:7: clients.idel_ms: not known; the nearest known name is clients.idle_ms",
+                    "f.toml:2: pool.line_kb: renamed to discovery.list_kb",
+                    "f.toml:3: pool.silence_ms: renamed to discovery.silence_ms"});
+}
+
 TEST_CASE("[takeover] is off unless there are seats, and each of its faults is named") {
   CHECK(ReadConfig({.toml = kSound}, NoVariable).takeover.seats.empty());
   const std::string peers = "[peers]\nfleet = \"f\"\nlisten = \"127.0.0.1:7300\"\n";
--- a/tests/net/pool_test.cpp
+++ b/tests/net/pool_test.cpp
@@ -236,7 +236,7 @@
   }
   std::string most = "{" + std::string(1022, ' ') + "}";
   CHECK(Finds({most, most}, 1024) == "<" + most + "><" + most + ">");
-  CHECK(Finds({"\n{ ", most}, 1024) == "h!a list over 1 KiB (pool.line_kb)");
+  CHECK(Finds({"\n{ ", most}, 1024) == "h!a list over 1 KiB (discovery.list_kb)");
 }
 
 TEST_CASE("list frames: any pieces, the same lists") {
