--- a/src/lab/crowd.cpp
+++ b/src/lab/crowd.cpp
@@ -64,7 +64,7 @@
     const auto& reader = scenario_.publish.readers[static_cast<std::size_t>(planned.payload.reader)];
     one.facts += fmt::format(",rd={},rv={}", reader.name, reader.reads);
   }
-  if (scenario_.takeover && cls.effect != Effect::kSafe) one.work = fmt::format("{}", request);
+  if (scenario_.failover && cls.effect != Effect::kSafe) one.work = fmt::format("{}", request);
   ++outcomes_[request].tries;
   referee_.Sent(one.id, plan_.keys[static_cast<std::size_t>(planned.key)], planned.cls, one.router, one.sent,
                 one.waits, one.work, planned.tenant, planned.client);
--- a/src/lab/peer_day.cpp
+++ b/src/lab/peer_day.cpp
@@ -107,11 +107,11 @@
   for (std::size_t i = 0; i < std::min(kSeeds, hosts_.size()); ++i)
     seeds += fmt::format("{}\"{}\"", i > 0 ? ", " : "", links_->Shown(i));
   auto at = static_cast<std::size_t>(router);
-  if (scenario_.takeover) {
+  if (scenario_.failover) {
     std::vector<int> all(hosts_.size());
     std::iota(all.begin(), all.end(), 0);
     text += fmt::format("[takeover]\nseats = [{}]\nalone = \"{}\"\nlinger_ms = {:.0f}\n",
-                        SeatsOf(scenario_, all), scenario_.alone, scenario_.linger_ms);
+                        SeatsOf(scenario_, all), scenario_.no_quorum, scenario_.retain_ms);
   }
   if (scenario_.overload) {
     std::vector<int> first(std::min<std::size_t>(5, hosts_.size()));
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -150,12 +150,13 @@
     t.Yes("on", s.peers);
   }
   {
-    ScenarioTable t(root.Child("takeover"), "takeover", file, faults);
-    t.Yes("on", s.takeover);
-    t.Word("alone", s.alone);
-    t.Number("linger_ms", s.linger_ms, 100, 3600000);
-    if (s.takeover && !s.peers) t.Fault(nullptr, "on", "needs on = true in [peers]");
-    if (s.alone != "reject" && s.alone != "serve") t.Fault(nullptr, "alone", "reject or serve expected");
+    ScenarioTable t(root.Child("failover"), "failover", file, faults);
+    t.Yes("on", s.failover);
+    t.Word("no_quorum", s.no_quorum);
+    t.Number("retain_ms", s.retain_ms, 100, 3600000);
+    if (s.failover && !s.peers) t.Fault(nullptr, "on", "needs on = true in [peers]");
+    if (s.no_quorum != "reject" && s.no_quorum != "serve")
+      t.Fault(nullptr, "no_quorum", "reject or serve expected");
   }
   {
     ScenarioTable t(root.Child("overload"), "overload", file, faults);
--- a/src/lab/scenario.h
+++ b/src/lab/scenario.h
@@ -101,9 +101,9 @@
   std::vector<RouterEvent> router_events;
   std::vector<Strangers> strangers;
   bool peers = false;     // routers see each other; on sockets only
-  bool takeover = false;  // work in hand outlives its router; needs peers
-  std::string alone = "reject";
-  double linger_ms = 5000;
+  bool failover = false;  // work in hand outlives its router; needs peers
+  std::string no_quorum = "reject";
+  double retain_ms = 5000;
   std::vector<LinkEvent> link_events;
   bool overload = false;     // routers judge overload as one; on sockets only
   int dials_per_second = 0;  // with it, at a member that is back; 0: as the routers do by themselves
--- a/src/lab/scenario_table.cpp
+++ b/src/lab/scenario_table.cpp
@@ -9,17 +9,41 @@
 #include "config/keys.h"
 
 namespace peatbend::lab {
+namespace {
+
+// To be taken out after two releases.
+constexpr RenamedKey kRenamed[] = {
+    {"takeover", "failover"},
+    {"takeover.on", "failover.on"},
+    {"takeover.alone", "failover.no_quorum"},
+    {"takeover.linger_ms", "failover.retain_ms"},
+};
+
+}  // namespace
+
+std::span<const RenamedKey> RenamedScenarioKeys() { return kRenamed; }
 
 ScenarioTable::~ScenarioTable() {
   if (table_ == nullptr) return;
   for (auto&& [name, node] : *table_) {
     std::string key(name.str());
-    if (std::ranges::find(known_, key) == known_.end()) {
+    if (std::ranges::find(known_, key) == known_.end() && !FaultIfRenamed(node, key)) {
       Fault(&node, key, "not known; the nearest known name is " + Nearest(key, known_));
     }
   }
 }
 
+bool ScenarioTable::FaultIfRenamed(const toml::node& node, const std::string& key) {
+  std::string path = path_.empty() ? key : path_ + "." + key;
+  const RenamedKey* renamed = std::ranges::find(kRenamed, path, &RenamedKey::old_name);
+  if (renamed == std::end(kRenamed)) return false;
+  Fault(&node, key, fmt::format("renamed to {}", renamed->new_name));
+  if (const toml::table* table = node.as_table()) {
+    for (auto&& [name, item] : *table) FaultIfRenamed(item, fmt::format("{}.{}", key, name.str()));
+  }
+  return true;
+}
+
 std::optional<double> ScenarioTable::Within(const char* key, double least, double most, bool whole) {
   const toml::node* node = Take(key);
   if (node == nullptr) return std::nullopt;
--- a/src/lab/scenario_table.h
+++ b/src/lab/scenario_table.h
@@ -6,14 +6,19 @@
 #include <toml++/toml.h>
 
 #include <optional>
+#include <span>
 #include <string>
 #include <type_traits>
 #include <vector>
 
+#include "config/keys.h"
 #include "world/agenda.h"
 
 namespace peatbend::lab {
 
+// Keys and tables of scenarios that were renamed. Each old name is an error that tells the new one.
+std::span<const RenamedKey> RenamedScenarioKeys();
+
 class ScenarioTable {
  public:
   // `table` may be null: no key is there. `file` and `faults` outlive this.
@@ -42,6 +47,8 @@
   void Fault(const toml::node* node, const std::string& key, const std::string& what);
 
  private:
+  // True if `key` was renamed: then `node`, and what was renamed in it, are an error each.
+  bool FaultIfRenamed(const toml::node& node, const std::string& key);
   const toml::node* Take(const char* key);
   std::optional<double> Within(const char* key, double least, double most, bool whole);
 
--- a/tests/lab/world_test.cpp
+++ b/tests/lab/world_test.cpp
@@ -1,7 +1,10 @@
 // The world's failures, each as it is meant to be; and simulated days that come out the same for a seed.
+#include <fmt/format.h>
+
 #include "doctest/doctest.h"
 #include "lab/compare.h"
 #include "lab/report.h"
+#include "lab/scenario_table.h"
 #include "lab/virtual_run.h"
 
 namespace peatbend::lab::test {
@@ -261,5 +264,38 @@
   }
 }
 
+TEST_CASE("a renamed key of a scenario is an error that tells its line and its new name, which is known") {
+  auto errors = [](const std::string& text) -> std::string {
+    try {
+      ParseScenario("name = \"x\"\n" + text, "s.toml");
+    } catch (const std::runtime_error& error) {
+      return error.what();
+    }
+    return "";
+  };
+  // As text: a table's header, or a key below one.
+  auto text_of = [](std::string_view name) {
+    std::size_t dot = name.rfind('.');
+    if (dot == std::string_view::npos) return fmt::format("[{}]\n\n", name);
+    // A date is of no key's type.
+    return fmt::format("[{}]\n{} = 2020-01-01\n", name.substr(0, dot), name.substr(dot + 1));
+  };
+  CHECK(!RenamedScenarioKeys().empty());
+  for (const RenamedKey& key : RenamedScenarioKeys()) {
+    CAPTURE(key.old_name);
+    int line = key.old_name.find('.') == std::string_view::npos ? 2 : 3;
+    std::string found = errors(text_of(key.old_name));
+    CHECK(found.find(fmt::format("s.toml:{}: {}: renamed to {}", line, key.old_name, key.new_name)) !=
+          std::string::npos);
+    found = errors(text_of(key.new_name));
+    CHECK(found.find("not known") == std::string::npos);
+    CHECK(found.find("renamed") == std::string::npos);
+  }
+  std::string both = errors("[takeover]\nalone = \"serve\"\n[failover]\nno_quorum = \"serve\"\non = 3\n");
+  CHECK(both.find("s.toml:2: takeover: renamed to failover\n"
+                  "s.toml:3: takeover.alone: renamed to failover.no_quorum") != std::string::npos);
+  CHECK(both.find("s.toml:6: failover.on: true or false expected") != std::string::npos);
+}
+
 }  // namespace
 }  // namespace peatbend::lab::test
