--- a/src/base/counters.cpp
+++ b/src/base/counters.cpp
@@ -45,7 +45,7 @@
   add("closed_as_stray", c.closed_as_stray);
   add("watches", c.watches);
   add("watch_failures", c.watch_failures);
-  add("pool_changes", c.pool_changes);
+  add("server_list_changes", c.server_list_changes);
   add("reloads", c.reloads);
   add("reloads_refused", c.reloads_refused);
   return counts;
--- a/src/base/tuning.h
+++ b/src/base/tuning.h
@@ -45,11 +45,11 @@
     Milliseconds dial_timeout{1000}, keepalive{10000};  // where the deployment states none
     bool operator==(const Members&) const = default;
   } members;
-  struct PoolWatch {
+  struct Discovery {
     Milliseconds silence{3000};  // of a watch; then it is made anew
-    std::int64_t line_kb = 4096;
-    bool operator==(const PoolWatch&) const = default;
-  } pool;
+    std::int64_t list_kb = 4096;
+    bool operator==(const Discovery&) const = default;
+  } discovery;
   struct Memory {
     double unread_share = 0.125;  // of the memory, for commands that are not whole
     bool operator==(const Memory&) const = default;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -288,7 +288,7 @@
     faults.emplace_back("peers: this deployment bars talk among routers (settings.ceilings.peers is false)");
   auto known = root.find("known");
   if (known != root.end() && !known->is_null()) {
-    attempt("known.", [&] { config.known = net::ReadPoolList(*known, config.settings); });
+    attempt("known.", [&] { config.known = net::ReadServerList(*known, config.settings); });
   }
   if (!faults.empty()) throw ConfigError(std::move(faults));
   return config;
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -13,7 +13,7 @@
 #include "base/tuning.h"
 #include "compat/covers.h"
 #include "peatbend/balancer.h"
-#include "pool/pool_list.h"
+#include "discovery/server_list.h"
 #include "rations/table.h"
 
 namespace peatbend {
@@ -36,7 +36,7 @@
   std::uint64_t seed = 0;
   double cores = 1;
   std::int64_t memory_mb = 192, sockets = 1024;
-  net::PoolList known;
+  net::ServerList known;
   net::Tuning tuning;
   Settings settings;
   struct Peers {  // off where `listen` is empty
--- a/src/pool/pool.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -1,4 +1,4 @@
-#include "pool/pool.h"
+#include "discovery/discovery_watch.h"
 
 #include <algorithm>
 #include <stdexcept>
@@ -26,8 +26,8 @@
 }
 }  // namespace
 
-Pool::Pool(event_base* base, const std::string& address, const Settings& settings,
-           const Tuning::PoolWatch& tuning, PoolList known, Log& log, Counters& counters, OnNews on_news)
+DiscoveryWatch::DiscoveryWatch(event_base* base, const std::string& address, const Settings& settings,
+           const Tuning::Discovery& tuning, ServerList known, Log& log, Counters& counters, OnChange on_change)
     : base_(base),
       address_(address),
       settings_(settings),
@@ -35,7 +35,7 @@
       index_(known.index),
       log_(log),
       counters_(counters),
-      on_news_(std::move(on_news)),
+      on_change_(std::move(on_change)),
       dial_(base, [this] { Failed("its connection does not come up"); }),
       silence_(base, [this] { Failed("silent"); }),
       late_(base, [this] {
@@ -47,9 +47,9 @@
   Hold(known);
 }
 
-void Pool::Hold(const PoolList& list) {
+void DiscoveryWatch::Hold(const ServerList& list) {
   if (list.snapshot) held_.clear();
-  for (const PoolEntry& entry : list.entries) {
+  for (const ServerListEntry& entry : list.entries) {
     if (entry.entry.listed == Listed::kGone) {
       held_.erase(entry.entry.id.name);
     } else {
@@ -58,11 +58,11 @@
   }
 }
 
-void Pool::Watch() {
+void DiscoveryWatch::Watch() {
   ++counters_.watches;
-  std::size_t most = static_cast<std::size_t>(tuning_.line_kb) * 1024;
+  std::size_t most = static_cast<std::size_t>(tuning_.list_kb) * 1024;
   reader_.emplace(most + kBesides);
-  frames_.emplace(most);
+  splitter_.emplace(most);
   stands_ = false;
   late_.Stop();
   Alive(0);
@@ -81,7 +81,7 @@
 
 // Versions are one discovery's own: a number of the old one's, told to the new, could skip changes or wait
 // for one that never comes. So the whole list is asked for.
-void Pool::MoveTo(const std::string& address) {
+void DiscoveryWatch::MoveTo(const std::string& address) {
   ReadAddress(address, to_, to_size_);
   address_ = address;
   index_ = 0;
@@ -89,56 +89,56 @@
   Watch();
 }
 
-void Pool::Read() {
+void DiscoveryWatch::Read() {
   auto status = reader_->Read(bufferevent_get_input(socket_.get()));
   if (status == http1::ResponseReader::Status::kBad) return Failed(reader_->error());
   if (!reader_->has_head()) return;
   if (reader_->status() != 200) return Failed("status " + std::to_string(reader_->status()));
   std::string_view text = Contents(reader_->body());
   while (!text.empty()) {
-    switch (frames_->Next(text)) {
-      case ListFrames::Found::kNothing:
+    switch (splitter_->Next(text)) {
+      case ListSplitter::Found::kNothing:
         break;
-      case ListFrames::Found::kHeartbeat:
+      case ListSplitter::Found::kHeartbeat:
         Heartbeat();
         break;
-      case ListFrames::Found::kList:
+      case ListSplitter::Found::kList:
         Alive(0);
         late_.Stop();
-        if (!Take(frames_->TakeList())) return;
+        if (!Take(splitter_->TakeList())) return;
         break;
-      case ListFrames::Found::kBad:
-        return Failed("malformed list: " + frames_->error());
+      case ListSplitter::Found::kBad:
+        return Failed("malformed list: " + splitter_->error());
     }
   }
   evbuffer* body = reader_->body();
   evbuffer_drain(body, evbuffer_get_length(body));
   if (status == http1::ResponseReader::Status::kDone) return Failed("watch ended");
-  std::size_t begun = frames_->begun();
+  std::size_t begun = splitter_->begun();
   if (begun > 0 && !late_.set()) late_.Set(ListTimeout(tuning_.silence, unfinished_lists_));
   if (begun >= seen_ + kPiece) Alive(begun);
 }
 
 // Only a heartbeat, a whole list or a good piece of one is a sign of life: neither a head nor a few bytes
 // are. `seen`: bytes of a list under way.
-void Pool::Alive(std::size_t seen) {
+void DiscoveryWatch::Alive(std::size_t seen) {
   seen_ = seen;
   silence_.Set(tuning_.silence);
 }
 
 // Where nothing has changed, heartbeats are all that comes: the watch stands. Not if the whole list was asked
 // for: it is still to come, and heartbeats before it are no sign of life.
-void Pool::Heartbeat() {
+void DiscoveryWatch::Heartbeat() {
   if (index_ == 0 && !stands_) return;
   Alive(0);
-  if (!std::exchange(stands_, true)) on_news_(Scope::kDelta, {});
+  if (!std::exchange(stands_, true)) on_change_(Scope::kDelta, {});
 }
 
 // False if the list ended the watch.
-bool Pool::Take(const std::string& text) {
-  PoolList list;
+bool DiscoveryWatch::Take(const std::string& text) {
+  ServerList list;
   try {
-    list = ParsePoolList(text, settings_);
+    list = ParseServerList(text, settings_);
   } catch (const std::invalid_argument& error) {
     Failed(std::string("malformed list: ") + error.what());
     return false;
@@ -148,20 +148,20 @@
   bool anew = !list.snapshot && list.index < index_;  // versions only grow: discovery has lost its own
   index_ = anew ? 0 : list.index;
   Hold(list);
-  ++counters_.pool_changes;
-  on_news_(list.snapshot ? Scope::kFull : Scope::kDelta, std::move(list.entries));
+  ++counters_.server_list_changes;
+  on_change_(list.snapshot ? Scope::kFull : Scope::kDelta, std::move(list.entries));
   if (anew) Failed("changes up to a lower version than held: the whole list is asked for");
   return !anew;
 }
 
-void Pool::Failed(std::string_view why) {
+void DiscoveryWatch::Failed(std::string_view why) {
   ++counters_.watch_failures;
   log_.Line("watch failed", why);
   dial_.Stop();
   silence_.Stop();
   late_.Stop();
   socket_.reset();
-  on_news_(Scope::kFailed, {});
+  on_change_(Scope::kFailed, {});
 }
 
 }  // namespace peatbend::net
--- a/src/pool/list_frames.cpp
+++ b/src/discovery/list_splitter.cpp
@@ -1,10 +1,10 @@
-#include "pool/list_frames.h"
+#include "discovery/list_splitter.h"
 
 #include <utility>
 
 namespace peatbend::net {
 
-ListFrames::Found ListFrames::Next(std::string_view& text) {
+ListSplitter::Found ListSplitter::Next(std::string_view& text) {
   if (!error_.empty()) return Found::kBad;
   if (depth_ == 0) {
     if (Found found = Between(text); found != Found::kNothing) return found;
@@ -12,10 +12,10 @@
   return text.empty() ? Found::kNothing : Within(text);
 }
 
-std::string ListFrames::TakeList() { return std::exchange(list_, {}); }
+std::string ListSplitter::TakeList() { return std::exchange(list_, {}); }
 
 // Up to a list's first brace, which stays.
-ListFrames::Found ListFrames::Between(std::string_view& text) {
+ListSplitter::Found ListSplitter::Between(std::string_view& text) {
   while (!text.empty() && text.front() != '{') {
     char c = text.front();
     if (c != ' ' && c != '\t' && c != '\r' && c != '\n') {
@@ -28,7 +28,7 @@
   return Found::kNothing;
 }
 
-ListFrames::Found ListFrames::Within(std::string_view& text) {
+ListSplitter::Found ListSplitter::Within(std::string_view& text) {
   std::size_t size = 0;
   bool whole = false;
   while (!whole && size < text.size()) whole = Ends(text[size++]);
@@ -43,7 +43,7 @@
   return whole ? Found::kList : Found::kNothing;
 }
 
-bool ListFrames::Ends(char c) {
+bool ListSplitter::Ends(char c) {
   if (in_string_) {
     if (escaped_) {
       escaped_ = false;
--- a/src/pool/list_frames.h
+++ b/src/discovery/list_splitter.h
@@ -9,11 +9,11 @@
 
 namespace peatbend::net {
 
-class ListFrames {
+class ListSplitter {
  public:
   enum class Found { kNothing, kHeartbeat, kList, kBad };
   // `most`: bytes that one list may have.
-  explicit ListFrames(std::size_t most) : most_(most) {}
+  explicit ListSplitter(std::size_t most) : most_(most) {}
 
   // Takes from the front of `text` up to the first thing found, or all of it. A heartbeat is a line of no or
   // white space only, outside of a list; the rest of the line on which a list ended is none.
--- a/src/pool/pool_list.cpp
+++ b/src/discovery/server_list.cpp
@@ -1,4 +1,4 @@
-#include "pool/pool_list.h"
+#include "discovery/server_list.h"
 
 #include <algorithm>
 #include <cmath>
@@ -35,9 +35,9 @@
   return static_cast<int>(std::find(names.begin(), names.end(), name) - names.begin());
 }
 
-PoolEntry ReadEntry(const json& object, const Settings& settings) {
+ServerListEntry ReadEntry(const json& object, const Settings& settings) {
   if (!object.is_object()) throw std::invalid_argument("endpoints: an object expected");
-  PoolEntry entry;
+  ServerListEntry entry;
   entry.entry.id.name = Field<std::string>(object, "name");
   if (entry.entry.id.name.empty()) throw std::invalid_argument("name: empty");
   auto status = Field<std::string>(object, "status");
@@ -67,7 +67,7 @@
 
 }  // namespace
 
-nlohmann::json WritePoolEntry(const PoolEntry& entry, const Settings& settings) {
+nlohmann::json WriteServerListEntry(const ServerListEntry& entry, const Settings& settings) {
   auto name_of = [](const std::vector<std::string>& names, int index) {
     return index >= 0 && index < static_cast<int>(names.size()) ? names[static_cast<std::size_t>(index)] : "";
   };
@@ -83,9 +83,9 @@
           {"since_ms", since.count()}};
 }
 
-PoolList ReadPoolList(const json& object, const Settings& settings) {
+ServerList ReadServerList(const json& object, const Settings& settings) {
   if (!object.is_object()) throw std::invalid_argument("an object expected");
-  PoolList list;
+  ServerList list;
   list.index = Field<std::int64_t>(object, "index");
   list.snapshot = FieldOr<bool>(object, "snapshot", false);
   auto entries = object.find("endpoints");
@@ -95,10 +95,10 @@
   return list;
 }
 
-PoolList ParsePoolList(std::string_view text, const Settings& settings) {
+ServerList ParseServerList(std::string_view text, const Settings& settings) {
   json object = json::parse(text, nullptr, false);
   if (object.is_discarded()) throw std::invalid_argument("not JSON");
-  return ReadPoolList(object, settings);
+  return ReadServerList(object, settings);
 }
 
 }  // namespace peatbend::net
--- a/src/pool/pool_list.h
+++ b/src/discovery/server_list.h
@@ -12,23 +12,23 @@
 
 namespace peatbend::net {
 
-struct PoolEntry {
+struct ServerListEntry {
   ServerEntry entry;
   std::string address;
   sockaddr_storage to{};
   int to_size = 0;
 };
 
-struct PoolList {
+struct ServerList {
   std::int64_t index = 0;
   bool snapshot = false;
-  std::vector<PoolEntry> entries;
+  std::vector<ServerListEntry> entries;
 };
 
 // Throws std::invalid_argument, naming the key at fault.
-PoolList ReadPoolList(const nlohmann::json& json, const Settings& settings);
-PoolList ParsePoolList(std::string_view text, const Settings& settings);
+ServerList ReadServerList(const nlohmann::json& json, const Settings& settings);
+ServerList ParseServerList(std::string_view text, const Settings& settings);
 // The entry as discovery would state it.
-nlohmann::json WritePoolEntry(const PoolEntry& entry, const Settings& settings);
+nlohmann::json WriteServerListEntry(const ServerListEntry& entry, const Settings& settings);
 
 }  // namespace peatbend::net
--- a/src/member/member_connections.cpp
+++ b/src/member/member_connections.cpp
@@ -181,11 +181,11 @@
       log_(log),
       counters_(counters) {}
 
-void MemberConnections::Learn(Scope scope, const std::vector<PoolEntry>& entries) {
+void MemberConnections::Learn(Scope scope, const std::vector<ServerListEntry>& entries) {
   if (scope == Scope::kFull || scope == Scope::kCached) {
     for (auto& [name, member] : members_) member.gone = true;
   }
-  for (const PoolEntry& entry : entries) {
+  for (const ServerListEntry& entry : entries) {
     Member& member = members_[entry.entry.id.name];
     member.name = entry.entry.id.name;
     member.gone = entry.entry.listed == Listed::kGone;
--- a/src/member/member_connections.h
+++ b/src/member/member_connections.h
@@ -17,7 +17,7 @@
 #include "base/tuning.h"
 #include "member/attempt.h"
 #include "member/server_codec.h"
-#include "pool/pool_list.h"
+#include "discovery/server_list.h"
 #include "protocol/request.h"
 
 namespace peatbend::net {
@@ -106,7 +106,7 @@
   MemberConnections(event_base* base, const Settings& settings, const Tuning::Members& tuning,
                     SocketBudget& sockets, const Clock& clock, Log& log, Counters& counters);
 
-  void Learn(Scope scope, const std::vector<PoolEntry>& entries);
+  void Learn(Scope scope, const std::vector<ServerListEntry>& entries);
   // Null if no connection can be tried.
   MemberConnection* Begin(Attempt& attempt, const Request& request, AttemptTimes times);
   void CloseIdle(const std::string& member);
--- a/src/router/life_cycle.cpp
+++ b/src/router/life_cycle.cpp
@@ -8,8 +8,8 @@
   return true;
 }
 
-bool LifeCycle::PoolThere() {
-  pool_ = true;
+bool LifeCycle::ServerListHeld() {
+  server_list_held_ = true;
   return state_ == State::kStarting && Move(State::kServing);
 }
 
@@ -22,7 +22,7 @@
   return state_ == State::kStopping && Move(State::kFinishing);
 }
 
-bool LifeCycle::Join() { return away() && Move(pool_ ? State::kServing : State::kStarting); }
+bool LifeCycle::Join() { return away() && Move(server_list_held_ ? State::kServing : State::kStarting); }
 
 bool LifeCycle::SuccessorReady() {
   if (stopping()) {  // it came in time to take what is left
@@ -37,7 +37,7 @@
 bool LifeCycle::SuccessorLost() {
   handed_over_ = false;
   return state_ == State::kHandingOver &&
-         Move(before_ == State::kStarting && pool_ ? State::kServing : before_);
+         Move(before_ == State::kStarting && server_list_held_ ? State::kServing : before_);
 }
 
 bool LifeCycle::Stop() {
@@ -65,7 +65,7 @@
   return "stopping";
 }
 
-bool LifeCycle::takes_clients() const { return pool_ && (state_ == State::kServing || away()); }
+bool LifeCycle::takes_clients() const { return server_list_held_ && (state_ == State::kServing || away()); }
 
 // With a successor the two are one router, which takes clients unless it was told not to.
 bool LifeCycle::welcome() const {
--- a/src/router/life_cycle.h
+++ b/src/router/life_cycle.h
@@ -17,7 +17,7 @@
   enum class State { kStarting, kServing, kLeaving, kEmptying, kHandingOver, kStopping, kFinishing };
 
   // Each returns whether the state moved.
-  bool PoolThere();
+  bool ServerListHeld();
   bool Leave();
   bool LateClientsOver();
   bool Join();
@@ -39,7 +39,7 @@
 
  private:
   bool Move(State to);
-  bool pool_ = false;               // there is one: what JOIN goes back to
+  bool server_list_held_ = false;               // there is one: what JOIN goes back to
   State before_ = State::kServing;  // handing over or stopping: where it was
   bool handed_over_ = false;        // stopping: a successor has the clients
   State state_ = State::kStarting;
--- a/src/router/overload_office.cpp
+++ b/src/router/overload_office.cpp
@@ -189,7 +189,7 @@
 
 // ---- Members that get nothing, or are back -------------------------------------------------------------
 
-void OverloadOffice::Pool(Scope scope, const std::vector<ServerEntry>& entries) {
+void OverloadOffice::ServerListChanged(Scope scope, const std::vector<ServerEntry>& entries) {
   if (scope == Scope::kFailed) return;
   std::map<std::uint32_t, Listing> before = members_;
   if (scope != Scope::kDelta) members_.clear();
--- a/src/router/overload_office.h
+++ b/src/router/overload_office.h
@@ -34,7 +34,7 @@
   void Ended(std::uint64_t work, int cls, Fate fate, Duration took) override;
   void Answered(std::string_view server, int cls, Duration elapsed, const LoadReport& load) override;
   void Sending(std::string_view server) override;
-  void Pool(Scope scope, const std::vector<ServerEntry>& entries) override;
+  void ServerListChanged(Scope scope, const std::vector<ServerEntry>& entries) override;
   void Tried(const Trial& trial) override;
 
   // The program's figures of it, names without a prefix.
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -45,13 +45,13 @@
   return socket;
 }
 
-PoolList Known(const Config& config, const std::optional<handover::Inheritance>& inherited, Log& log) {
+ServerList Known(const Config& config, const std::optional<handover::Inheritance>& inherited, Log& log) {
   if (!inherited) return config.known;
   // A version of another discovery means nothing to this one: the whole list is asked for.
   bool elsewhere = !inherited->discovery.empty() && inherited->discovery != config.discovery;
   std::int64_t index = elsewhere ? 0 : inherited->index;
   try {
-    return ReadPoolList({{"index", index}, {"snapshot", true}, {"endpoints", inherited->endpoints}},
+    return ReadServerList({{"index", index}, {"snapshot", true}, {"endpoints", inherited->endpoints}},
                         config.settings);
   } catch (const std::invalid_argument& error) {
     log.Line("handover", std::string("the pool handed on cannot be used: ") + error.what());
@@ -69,12 +69,12 @@
       predecessor_memory_(inherited ? inherited->memory : 0),
       connections_(base, running_.settings, running_.tuning.members, sockets_, clock_, log_, counters_),
       decision_(
-          base, running_.settings, config.seed, connections_, [this] { pool_.KeepWatching(); }, clock_, log_,
+          base, running_.settings, config.seed, connections_, [this] { discovery_watch_.KeepWatching(); }, clock_, log_,
           counters_),
-      pool_(base, config.discovery, running_.settings, running_.tuning.pool, Known(config, inherited, log_),
+      discovery_watch_(base, config.discovery, running_.settings, running_.tuning.discovery, Known(config, inherited, log_),
             log_, counters_,
-            [this](Scope scope, std::vector<PoolEntry> entries) {
-              decision_.PoolNews(scope, std::move(entries));
+            [this](Scope scope, std::vector<ServerListEntry> entries) {
+              decision_.ServerListChanged(scope, std::move(entries));
             }),
       successor_(base, log_,
                  {.offer = [this] { return MakeOffer(); },
@@ -104,10 +104,10 @@
   if (!config.admin.empty()) admin_ = std::make_unique<AdminServer>(base, config.admin, *this, clock_, log_);
   MeetPeers();
   decision_.OnReady([this] {
-    if (life_.PoolThere()) Moved();
+    if (life_.ServerListHeld()) Moved();
   });
-  std::vector<PoolEntry> entries;
-  for (const auto& [name, entry] : pool_.held()) entries.push_back(entry);
+  std::vector<ServerListEntry> entries;
+  for (const auto& [name, entry] : discovery_watch_.held()) entries.push_back(entry);
   std::size_t known = entries.size();
   if (inherited) {
     if (inherited->away) Leave();
@@ -118,7 +118,7 @@
             .keeps = [this](std::int64_t keeps, std::int64_t memory) { PredecessorKeeps(keeps, memory); }});
     predecessor_->Ready();
   }
-  decision_.PoolNews(Scope::kCached, std::move(entries));
+  decision_.ServerListChanged(Scope::kCached, std::move(entries));
   successor_.Open(door_);
   log_.Line("start", (predecessor_ ? "takes over " : "listening on ") + config.listen + ", " +
                          std::to_string(known) + " pool entries known");
@@ -246,11 +246,11 @@
   handover::Successor::Offer offer;
   offer.listener = listener_.socket();
   offer.discovery = running_.discovery;
-  offer.index = pool_.index();
+  offer.index = discovery_watch_.index();
   offer.keeps = Keeps();
   offer.away = life_.away();
-  for (const auto& [name, entry] : pool_.held())
-    offer.endpoints.push_back(WritePoolEntry(entry, running_.settings));
+  for (const auto& [name, entry] : discovery_watch_.held())
+    offer.endpoints.push_back(WriteServerListEntry(entry, running_.settings));
   return offer;
 }
 
@@ -322,7 +322,7 @@
   } else {
     log_.Line("reload", "discovery is now at " + config.discovery);
     running_.discovery = config.discovery;
-    pool_.MoveTo(config.discovery);
+    discovery_watch_.MoveTo(config.discovery);
   }
   auto at_next_start = [this](bool differs, std::string_view key) {
     if (differs) log_.Line("reload", std::string(key) + ": differs, holds from the next start");
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -19,7 +19,7 @@
 #include "handover/successor.h"
 #include "member/member_connections.h"
 #include "peers/peers.h"
-#include "pool/pool.h"
+#include "discovery/discovery_watch.h"
 #include "router/life_cycle.h"
 #include "router/overload_office.h"
 #include "router/publication_office.h"
@@ -90,7 +90,7 @@
   MemoryBudget memory_;
   MemberConnections connections_;
   Decision decision_;
-  Pool pool_;
+  DiscoveryWatch discovery_watch_;
   handover::Successor successor_;
   Listener listener_;
   std::optional<handover::Predecessor> predecessor_;
--- a/src/stage/decision.cpp
+++ b/src/stage/decision.cpp
@@ -30,13 +30,13 @@
 }  // namespace
 
 Decision::Decision(event_base* base, const Settings& settings, std::uint64_t seed,
-                   MemberConnections& connections, std::function<void()> watch_pool, const Clock& clock,
+                   MemberConnections& connections, std::function<void()> watch_discovery, const Clock& clock,
                    Log& log, Counters& counters)
     : base_(base),
       settings_(OnSockets(settings)),
       balancer_(settings_, seed),
       connections_(connections),
-      watch_pool_(std::move(watch_pool)),
+      watch_discovery_(std::move(watch_discovery)),
       clock_(clock),
       log_(log),
       counters_(counters),
@@ -70,10 +70,10 @@
   Post(Left{id});
 }
 
-void Decision::PoolNews(Scope scope, std::vector<PoolEntry> entries) {
+void Decision::ServerListChanged(Scope scope, std::vector<ServerListEntry> entries) {
   connections_.Learn(scope, entries);
   News news{scope, {}};
-  for (PoolEntry& entry : entries) news.entries.push_back(std::move(entry.entry));
+  for (ServerListEntry& entry : entries) news.entries.push_back(std::move(entry.entry));
   Post(std::move(news));
 }
 
@@ -143,7 +143,7 @@
   for (const ServerEntry& entry : news.entries) {
     if (settings_.aside && entry.kind == settings_.origin_kind) origins_.insert(entry.id.name);
   }
-  if (watching_ != nullptr) watching_->Pool(news.scope, news.entries);
+  if (watching_ != nullptr) watching_->ServerListChanged(news.scope, news.entries);
   Ask(MembershipEvent{news.scope, news.entries});
 }
 
@@ -337,7 +337,7 @@
 
 void Decision::Do(const SetTimer& timer) { timers_.emplace(clock_.Now() + timer.in, timer.mark); }
 
-void Decision::Do(const Subscribe&) { watch_pool_(); }
+void Decision::Do(const Subscribe&) { watch_discovery_(); }
 
 void Decision::Do(const Release& release) { connections_.CloseIdle(release.server.name); }
 
--- a/src/stage/decision.h
+++ b/src/stage/decision.h
@@ -36,12 +36,12 @@
 class Decision : public FlowOwner {
  public:
   Decision(event_base* base, const Settings& settings, std::uint64_t seed, MemberConnections& connections,
-           std::function<void()> watch_pool, const Clock& clock, Log& log, Counters& counters);
+           std::function<void()> watch_discovery, const Clock& clock, Log& log, Counters& counters);
 
   // Nothing where a request under the same id is open.
   std::optional<RequestId> Take(std::unique_ptr<Request> request, AnswerSink& client, std::uint64_t place);
   void ClientLeft(RequestId id);
-  void PoolNews(Scope scope, std::vector<PoolEntry> entries);
+  void ServerListChanged(Scope scope, std::vector<ServerListEntry> entries);
   void FlowEnded(ServerSideFlow& flow, FlowReply reply) override;
   bool FlowBegan(ServerSideFlow& flow, std::size_t length) override;
   Next FlowPiece(ServerSideFlow& flow, evbuffer* bytes) override;
@@ -145,7 +145,7 @@
   Settings settings_;
   Balancer balancer_;
   MemberConnections& connections_;
-  std::function<void()> watch_pool_;
+  std::function<void()> watch_discovery_;
   const Clock& clock_;
   Log& log_;
   Counters& counters_;
--- a/src/stage/watching.h
+++ b/src/stage/watching.h
@@ -21,7 +21,7 @@
   virtual std::uint64_t Judge(const Request& request, Rationing* rationing, RequestEvent& event) = 0;
   virtual void Ended(std::uint64_t work, int cls, Fate fate, Duration took) = 0;
   // The pool, as discovery tells of it.
-  virtual void Pool(Scope scope, const std::vector<ServerEntry>& entries) = 0;
+  virtual void ServerListChanged(Scope scope, const std::vector<ServerEntry>& entries) = 0;
   // An attempt is about to go there.
   virtual void Sending(std::string_view server) = 0;
   // What the module tells of an ejected member, or of its trial.
--- a/tests/layers.sh
+++ b/tests/layers.sh
@@ -2,7 +2,7 @@
 # The packages under src/ ($1) depend one way: a file may include headers of its own package and of those that
 # stand before it in this list, and of none behind it.
 set -eu
-order="base module protocol pool takeover rations compat overload config peers member stage front handover admin router world standin links processes twin lab"
+order="base module protocol discovery takeover rations compat overload config peers member stage front handover admin router world standin links processes twin lab"
 status=0
 seen=""
 for package in $order; do
@@ -27,7 +27,7 @@
     { echo "$file is not in policy of deploy/balancer.toml" >&2; status=1; }
 done
 # The laboratory judges the router: it may not use the stages that it judges.
-if grep -rnE '^#include "(rations|pool|member|stage|front|router)/' "$1/world" "$1/standin" "$1/links" "$1/processes" "$1/twin" "$1/lab"; then
+if grep -rnE '^#include "(rations|discovery|member|stage|front|router)/' "$1/world" "$1/standin" "$1/links" "$1/processes" "$1/twin" "$1/lab"; then
   echo "the laboratory includes from the router's stages" >&2
   status=1
 fi
--- a/tests/net/attempts_test.cpp
+++ b/tests/net/attempts_test.cpp
@@ -32,7 +32,7 @@
               [](Config& config) { config.settings.dial_timeout = 2 * kWaits; }),
         late(base.get(), std::move(late_answers)) {
     watch = &Watched({R"({"index":42,"snapshot":false,"endpoints":[)" + Member("box-1", late.port) + "]}"});
-    Until([&] { return router.counters().pool_changes == 1; });
+    Until([&] { return router.counters().server_list_changes == 1; });
   }
   std::uint64_t Ended() const {
     const auto& outcomes = router.counters().outcomes;
@@ -124,7 +124,7 @@
   End& client = stage.Client(GetWithin(kKey, kWaits));
   stage.Until([&] { return stage.router.counters().dials == 1; });
   stage.watch->Say(Chunk(change(stage.late.port)));
-  stage.Until([&] { return stage.router.counters().pool_changes == 2; });
+  stage.Until([&] { return stage.router.counters().server_list_changes == 2; });
   stage.late.Open();
   stage.Until([&] { return client.got.ends_with("\r\n"); });
   CHECK(client.got == kFetched);
--- a/tests/net/beliefs_test.cpp
+++ b/tests/net/beliefs_test.cpp
@@ -19,7 +19,7 @@
   End& client = stage.Client(kRead);
   stage.Until([&] { return waiting != nullptr; });
   stage.Watched({Changed(Member("box-1", moved.port))});
-  stage.Until([&] { return stage.router.counters().pool_changes == 1; });
+  stage.Until([&] { return stage.router.counters().server_list_changes == 1; });
   waiting->Say(Value("old"));
   stage.Until([&] { return client.got == "$3\r\nold\r\n"; });
   stage.Rest();
--- a/tests/net/broken_answers_test.cpp
+++ b/tests/net/broken_answers_test.cpp
@@ -17,7 +17,7 @@
 // The list in which these two stand elsewhere.
 void Moves(Stage& stage, const std::string& members) {
   stage.Watched({R"({"index":42,"snapshot":false,"endpoints":[)" + members + "]}"});
-  stage.Until([&] { return stage.router.counters().pool_changes == 1; });
+  stage.Until([&] { return stage.router.counters().server_list_changes == 1; });
 }
 
 // A reset is no end: an answer of unknown length may go on behind it.
--- a/tests/net/pool_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -5,12 +5,12 @@
 #include <vector>
 
 #include "net/watch_stage.h"
-#include "pool/list_frames.h"
+#include "discovery/list_splitter.h"
 
 namespace peatbend::net::test {
 namespace {
 
-using Found = ListFrames::Found;
+using Found = ListSplitter::Found;
 
 TEST_CASE("watch: silence is a failure, wherever it falls") {
   for (const std::string said : {"", "HTTP/1.1 200 OK\r\nTransfer-", kWatchHead,
@@ -20,7 +20,7 @@
     watch.Answer(said);
     watch.Until([&] { return !watch.news.empty(); });
     CHECK(watch.Failed());
-    CHECK(watch.pool->index() == 7);
+    CHECK(watch.discovery_watch->index() == 7);
   }
   Watching after_list(150);
   after_list.Answer(kWatchHead + Piece(List(9, true, {"a"}) + "\n") + Piece("\n"));
@@ -98,7 +98,7 @@
     watch.Until([&] { return watch.news.size() == call; });
     if (watch.news.back() == Scope::kFull) break;
     REQUIRE(watch.news.back() == Scope::kFailed);
-    watch.pool->Watch();
+    watch.discovery_watch->Watch();
   }
   CHECK(watch.news.size() > 1);  // the first call was given up
   CHECK(watch.news.back() == Scope::kFull);
@@ -110,7 +110,7 @@
   watch.Until([&] { return watch.drips > 20; });
   CHECK(watch.news == std::vector<Scope>{Scope::kDelta});
   CHECK(watch.told == std::vector<std::size_t>{0});
-  CHECK(watch.counters.pool_changes == 0);
+  CHECK(watch.counters.server_list_changes == 0);
 
   Watching anew(20000, 0);  // has asked for the whole list: a heartbeat is not that
   anew.Answer(kWatchHead + Piece("\n") + Piece("\n") + Piece(List(3, true, {"a"})));
@@ -127,16 +127,16 @@
   std::string next =
       "\r\n" + List(9, false, {"c"}, 4) + "\r\n \t\r\n" + Gone(10, "a") + List(11, false, {"d"}, 1);
   for (char c : next) end.Say(Piece(std::string(1, c)));
-  watch.Until([&] { return watch.pool->index() == 11; });
+  watch.Until([&] { return watch.discovery_watch->index() == 11; });
   CHECK(watch.Names() == "b c d ");
-  CHECK(watch.counters.pool_changes == 4);
+  CHECK(watch.counters.server_list_changes == 4);
 
   Watching plain;
   std::string list = List(12, true, {"e"}, 2);
   plain.Answer("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) + "\r\n\r\n" + list);
   plain.Until([&] { return plain.news.size() == 2; });
   CHECK(plain.news == std::vector<Scope>{Scope::kFull, Scope::kFailed});
-  CHECK(plain.pool->index() == 12);
+  CHECK(plain.discovery_watch->index() == 12);
 
   Watching full(20000, 7, 4);  // the bound is the list's: what stands about it does not count
   list.insert(1, 4096 - list.size(), ' ');
@@ -153,18 +153,18 @@
   watch.discovery.ends.back().Hang();
   watch.Until([&] { return watch.news.size() == 2; });
   CHECK(watch.news.back() == Scope::kFailed);
-  watch.pool->Watch();  // nothing of the half list is left
+  watch.discovery_watch->Watch();  // nothing of the half list is left
   watch.Answer(kWatchHead + Piece(Gone(10, "a")) + Piece(List(10, false, {"c"}, 2)), 2);
   CHECK(watch.discovery.ends.back().got.starts_with("GET /api/targets?watch=1&from=8 "));
   watch.Until([&] { return watch.news.size() == 4; });
   CHECK(watch.Names() == "b c ");
-  watch.pool->Watch();
+  watch.discovery_watch->Watch();
   watch.Answer(kWatchHead + Piece(List(3, true, {"x"}, 2)), 3);  // discovery began anew
   CHECK(watch.discovery.ends.back().got.find("from=10 ") != std::string::npos);
   watch.Until([&] { return watch.news.size() == 5; });
   CHECK(watch.news.back() == Scope::kFull);
   CHECK(watch.Names() == "x ");
-  CHECK(watch.pool->index() == 3);
+  CHECK(watch.discovery_watch->index() == 3);
 }
 
 TEST_CASE("watch: a list that cannot be read, or is too large, ends it") {
@@ -184,7 +184,7 @@
     watch.Answer(kWatchHead + Piece(text));
     watch.Until([&] { return watch.counters.watch_failures == 1; });
     CHECK(watch.news.back() == Scope::kFailed);
-    CHECK(watch.pool->index() == index);
+    CHECK(watch.discovery_watch->index() == index);
   }
   Watching many(20000, 7, 4);  // the bound is one list's: there may be many in a piece
   std::string lists;
@@ -192,12 +192,12 @@
   REQUIRE(lists.size() > 8 * 1024);
   many.Answer(kWatchHead + Piece(lists));
   many.Until([&] { return many.news.size() == 70; });
-  CHECK(many.pool->index() == 77);
+  CHECK(many.discovery_watch->index() == 77);
 }
 
 // What is found in a stream that comes in these pieces: a letter each, and the lists.
 std::string Finds(const std::vector<std::string>& pieces, std::size_t most = 1 << 20) {
-  ListFrames frames(most);
+  ListSplitter frames(most);
   std::string found;
   for (const std::string& piece : pieces) {
     std::string_view text = piece;
--- a/tests/net/flows_stage.h
+++ b/tests/net/flows_stage.h
@@ -26,7 +26,7 @@
   }
   // The server stands there.
   void Serve(int port) {
-    PoolEntry entry;
+    ServerListEntry entry;
     entry.entry.id.name = "box-1";
     entry.address = "127.0.0.1:" + std::to_string(port);
     ReadAddress(entry.address, entry.to, entry.to_size);
--- a/tests/net/held_attempt_test.cpp
+++ b/tests/net/held_attempt_test.cpp
@@ -14,12 +14,12 @@
 class HeldAttempt : public Keeping, public AnswerSink {
  public:
   HeldAttempt() {
-    PoolEntry entry;
+    ServerListEntry entry;
     entry.entry.id.name = "origin";
     entry.entry.kind = settings.origin_kind;
     entry.address = "127.0.0.1:" + std::to_string(stage.origin.port);
     ReadAddress(entry.address, entry.to, entry.to_size);
-    decision.PoolNews(Scope::kFull, {entry});
+    decision.ServerListChanged(Scope::kFull, {entry});
     decision.Keep(this);
   }
 
--- a/tests/net/members_test.cpp
+++ b/tests/net/members_test.cpp
@@ -84,7 +84,7 @@
   stage.Until([&] { return stage.discovery.ends.size() == 1; });
   again("from=41 ");
   stage.discovery.ends.back().Say(head + change(43));
-  stage.Until([&] { return stage.router.counters().pool_changes == 1; });
+  stage.Until([&] { return stage.router.counters().server_list_changes == 1; });
   stage.discovery.ends.back().Hang();
   again("from=43 ");
   stage.discovery.ends.back().Say(head + "1\r\n\n\r\n" + change(44) + Chunk("{broken"));
@@ -99,7 +99,7 @@
   Peer moved(stage.base.get(), Stage::Says(Value("new")));
   CHECK(stage.Ask(kRead) == "$3\r\nold\r\n");
   stage.Watched({R"({"index":42,"snapshot":false,"endpoints":[)" + Member("box-1", moved.port) + "]}"});
-  stage.Until([&] { return stage.router.counters().pool_changes == 1; });
+  stage.Until([&] { return stage.router.counters().server_list_changes == 1; });
   CHECK(stage.Ask(kRead) == "$3\r\nnew\r\n");
 }
 
@@ -109,7 +109,7 @@
   Stage stage(Stage::Says(Value("old")));
   Peer next(stage.base.get()), other(stage.base.get(), Stage::Says(Value("new")));
   stage.Watched({R"({"index":70,"snapshot":false,"endpoints":[]})"});
-  stage.Until([&] { return stage.router.counters().pool_changes == 1; });
+  stage.Until([&] { return stage.router.counters().server_list_changes == 1; });
   stage.router.Reload([]() -> Config { throw ConfigError("discovery: a string expected"); });
   Config config = stage.Configured();
   stage.router.Reload([&] { return config; });  // nothing differs
@@ -122,7 +122,7 @@
   next.ends.back().Say(
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
       Chunk(R"({"index":3,"snapshot":true,"endpoints":[)" + Member("box-2", other.port) + "]}"));
-  stage.Until([&] { return stage.router.counters().pool_changes == 2; });
+  stage.Until([&] { return stage.router.counters().server_list_changes == 2; });
   CHECK(stage.Ask(kRead) == "$3\r\nnew\r\n");
   next.ends.back().Hang();  // and a watch that fails is opened again there
   stage.Until([&] { return next.Count("watch=1&from=3 ") == 1; });
--- a/tests/net/operations_test.cpp
+++ b/tests/net/operations_test.cpp
@@ -81,7 +81,7 @@
   CHECK(!life.takes_clients());
   CHECK(life.Join());
   CHECK(life.state() == State::kStarting);
-  CHECK(life.PoolThere());
+  CHECK(life.ServerListHeld());
   CHECK(life.welcome());
   CHECK(!life.Join());
   CHECK(life.Leave());
@@ -109,7 +109,7 @@
   CHECK(!life.Leave());
 
   LifeCycle alone;
-  alone.PoolThere();
+  alone.ServerListHeld();
   CHECK(alone.Stop());
   CHECK(alone.rest() == Doors::Rest::kStays);  // late clients are served
   CHECK(!alone.SuccessorReady());              // in time for what is left
--- a/tests/net/parsers_test.cpp
+++ b/tests/net/parsers_test.cpp
@@ -8,7 +8,7 @@
 #include "doctest/doctest.h"
 #include "front/client_command.h"
 #include "member/server_codec.h"
-#include "pool/pool_list.h"
+#include "discovery/server_list.h"
 #include "protocol/facts.h"
 #include "protocol/http1.h"
 #include "protocol/resp.h"
@@ -264,7 +264,7 @@
 
 TEST_CASE("lists of the pool") {
   const Settings settings = TwoClasses();
-  PoolList list = ParsePoolList(
+  ServerList list = ParseServerList(
       R"({"index":41,"snapshot":true,"endpoints":[
           {"name":"s-1","address":"127.0.0.9:6379","zone":"b","type":"origin","group":3,"status":"DRAINING",
            "weight":1.5,"since_ms":1764583200123},
@@ -296,7 +296,7 @@
   };
   for (const auto& one : bad) {
     CAPTURE(one.text);
-    CHECK_THROWS_WITH_AS(ParsePoolList(one.text, settings), doctest::Contains(one.fault.c_str()),
+    CHECK_THROWS_WITH_AS(ParseServerList(one.text, settings), doctest::Contains(one.fault.c_str()),
                          std::invalid_argument);
   }
 }
--- a/tests/net/rules_test.cpp
+++ b/tests/net/rules_test.cpp
@@ -91,7 +91,7 @@
   std::string draining = Member("box-1", stage.member.port);
   draining.replace(draining.find("SERVING"), 7, "DRAINING");
   stage.Watched({R"({"index":42,"snapshot":false,"endpoints":[)" + draining + "]}"});
-  stage.Until([&] { return stage.router.counters().pool_changes == 1; });
+  stage.Until([&] { return stage.router.counters().server_list_changes == 1; });
   for (int i = 0; i < 5; ++i) CHECK(stage.Ask(kRead) == kFrom);
   CHECK(stage.member.Count("OBJ.GET") == 1);
   stage.Until([&] { return stage.member.ends.front().closed; });  // nor is a connection kept to it
--- a/tests/net/upgrade_test.cpp
+++ b/tests/net/upgrade_test.cpp
@@ -159,7 +159,7 @@
     Stage stage(kYes, {}, "", 1024, 192, folder.Door());
     Peer elsewhere(stage.base.get());
     stage.Watched({R"({"index":70,"snapshot":false,"endpoints":[]})"});
-    stage.Until([&] { return stage.router.counters().pool_changes == 1; });
+    stage.Until([&] { return stage.router.counters().server_list_changes == 1; });
     std::string said;
     auto inherited = AskFrom(stage, folder.Door(), said);
     REQUIRE_MESSAGE(inherited.has_value(), said);
--- a/tests/net/watch_stage.h
+++ b/tests/net/watch_stage.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "net/stage.h"
-#include "pool/pool.h"
+#include "discovery/discovery_watch.h"
 
 namespace peatbend::net::test {
 
@@ -32,19 +32,19 @@
 
 class Watching {
  public:
-  explicit Watching(int silence_ms = 20000, std::int64_t index = 7, std::int64_t line_kb = 4096)
-      : discovery(base.get()), tuning_{Milliseconds(silence_ms), line_kb} {
+  explicit Watching(int silence_ms = 20000, std::int64_t index = 7, std::int64_t list_kb = 4096)
+      : discovery(base.get()), tuning_{Milliseconds(silence_ms), list_kb} {
     std::signal(SIGPIPE, SIG_IGN);  // as the program does: a peer writes to what the pool has closed
     known_.index = index;
     Open(discovery.port);
   }
   void Open(int port) {
-    pool.emplace(base.get(), "127.0.0.1:" + std::to_string(port), settings_, tuning_, known_, log_, counters,
-                 [this](Scope scope, std::vector<PoolEntry> entries) {
+    discovery_watch.emplace(base.get(), "127.0.0.1:" + std::to_string(port), settings_, tuning_, known_, log_, counters,
+                 [this](Scope scope, std::vector<ServerListEntry> entries) {
                    news.push_back(scope);
                    told.push_back(entries.size());
                  });
-    pool->Watch();
+    discovery_watch->Watch();
   }
   void Until(const std::function<bool()>& holds) { RunUntil(base.get(), holds); }
   // Waits for the watch's request number `count`, and answers with this.
@@ -64,7 +64,7 @@
   bool Failed() const { return news == std::vector<Scope>{Scope::kFailed}; }
   std::string Names() const {
     std::string names;
-    for (const auto& [name, entry] : pool->held()) names += name + " ";
+    for (const auto& [name, entry] : discovery_watch->held()) names += name + " ";
     return names;
   }
 
@@ -73,13 +73,13 @@
   std::vector<Scope> news;
   std::vector<std::size_t> told;  // entries of each
   Counters counters;
-  std::optional<Pool> pool;
+  std::optional<DiscoveryWatch> discovery_watch;
   std::size_t drips = 0;
 
  private:
   Settings settings_;
-  Tuning::PoolWatch tuning_;
-  PoolList known_;
+  Tuning::Discovery tuning_;
+  ServerList known_;
   Clock clock_;
   Log log_{"test", {}, clock_};
   std::optional<Timer> dripping_;
--- a/tests/net/watch_test.cpp
+++ b/tests/net/watch_test.cpp
@@ -67,10 +67,10 @@
     watch.drips = 0;
     watch.Drip(watch.Answer(kWatchHead, call), endless, 20);
     watch.Until([&] { return watch.news.size() == call; });
-    if (call == 1) watch.pool->Watch();
+    if (call == 1) watch.discovery_watch->Watch();
   }
   Peer next(watch.base.get());
-  watch.pool->MoveTo("127.0.0.1:" + std::to_string(next.port));
+  watch.discovery_watch->MoveTo("127.0.0.1:" + std::to_string(next.port));
   watch.Until([&] { return next.Count("from=0 ") == 1; });
   next.ends.back().Say(kWatchHead);
   watch.drips = 0;
@@ -89,12 +89,12 @@
   watch.Until([&] { return watch.news.size() == 3; });
   CHECK(watch.news == std::vector<Scope>{Scope::kFull, Scope::kDelta, Scope::kFailed});
   CHECK(watch.Names() == "a b c ");  // what it told is taken
-  watch.pool->Watch();
+  watch.discovery_watch->Watch();
   watch.Answer(kWatchHead + Piece(List(5, true, {"c"})), 2);
   CHECK(watch.discovery.ends.back().got.find("from=0 ") != std::string::npos);
   watch.Until([&] { return watch.news.size() == 4; });
   CHECK(watch.Names() == "c ");
-  CHECK(watch.pool->index() == 5);
+  CHECK(watch.discovery_watch->index() == 5);
   watch.discovery.ends.back().Say(Piece(List(5, false, {"d"})) + Piece(List(6, false, {"e"})));
   watch.Until([&] { return watch.news.size() == 6; });
   CHECK(watch.Names() == "c d e ");  // the same version again is no lower one
@@ -108,7 +108,7 @@
   end.Say(Piece(Gone(44, "c")) + Piece(List(3, true, {"x"})) + Piece(List(4, false, {"y"}, 4)));
   watch.Until([&] { return watch.news.size() == 5; });
   CHECK(watch.Names() == "x y ");
-  CHECK(watch.pool->index() == 4);
+  CHECK(watch.discovery_watch->index() == 4);
   CHECK(watch.counters.watch_failures == 0);
 }
 
@@ -126,8 +126,8 @@
     watch.Until([&] { return watch.news.size() == 2; });
     CHECK(watch.news == std::vector<Scope>{Scope::kFull, Scope::kFailed});
     CHECK(watch.Names() == "a ");
-    CHECK(watch.pool->index() == 8);
-    watch.pool->Watch();
+    CHECK(watch.discovery_watch->index() == 8);
+    watch.discovery_watch->Watch();
     watch.Answer(kWatchHead + Piece(List(9, false, {"b"})), 2);
     CHECK(watch.discovery.ends.back().got.find("from=8 ") != std::string::npos);
     watch.Until([&] { return watch.news.size() == 3; });
@@ -162,7 +162,7 @@
     return peer.ends.back();
   }
   void Changes(std::uint64_t count) {
-    Until([&] { return router.counters().pool_changes == count; });
+    Until([&] { return router.counters().server_list_changes == count; });
   }
   void Pass(std::chrono::milliseconds time) {
     auto from = steady_clock::now();
--- a/tests/orders/life_cycle_test.cpp
+++ b/tests/orders/life_cycle_test.cpp
@@ -9,15 +9,15 @@
 
 struct Life {
   LifeCycle cycle;
-  bool pool = false, left = false, stopped = false, successor = false;
+  bool list_held = false, left = false, stopped = false, successor = false;
   bool late_over = false;  // since it was told to leave or to stop
 
   void Check(const std::string& after) {
     INFO(after);
     CHECK(cycle.stopping() == stopped);
-    CHECK(cycle.takes_clients() == (pool && !stopped && !successor));
+    CHECK(cycle.takes_clients() == (list_held && !stopped && !successor));
     CHECK(cycle.away() == (left && !stopped && !successor));
-    CHECK(cycle.welcome() == (!left && (successor || (pool && !stopped))));
+    CHECK(cycle.welcome() == (!left && (successor || (list_held && !stopped))));
     Doors::Rest closes = (left || stopped) && late_over ? Doors::Rest::kCloses : Doors::Rest::kStays;
     CHECK(cycle.rest() == (successor ? Doors::Rest::kGoesToSuccessor : closes));
   }
@@ -25,7 +25,7 @@
 
 TEST_CASE("orders: the life cycle is what has happened to it, whatever the sequence") {
   std::vector<orders::Happening<Life>> events = {
-      {"pool there", [](Life& life) { life.cycle.PoolThere(), life.pool = true; }},
+      {"pool there", [](Life& life) { life.cycle.ServerListHeld(), life.list_held = true; }},
       {"LEAVE",
        [](Life& life) {
          if (life.cycle.Leave()) life.left = true, life.late_over = false;
--- a/tests/orders/sockets_test.cpp
+++ b/tests/orders/sockets_test.cpp
@@ -29,7 +29,7 @@
     std::string entry = Member("box-1", member.port);
     entry.replace(entry.find("SERVING"), 7, "DRAINING");
     watch_->Say(Chunk(R"({"index":42,"snapshot":false,"endpoints":[)" + entry + "]}"));
-    Until([&] { return router.counters().pool_changes == 1; });
+    Until([&] { return router.counters().server_list_changes == 1; });
     until_told_ = Attempts();
   }
   void Leave() {
