--- a/src/base/counters.h
+++ b/src/base/counters.h
@@ -27,7 +27,7 @@
   std::uint64_t flows = 0, flows_to_origin = 0, dispatches = 0, dials = 0, reused = 0, not_sent_no_socket = 0;
   std::array<std::uint64_t, 9> outcomes{};  // by Result
   std::uint64_t member_malformed = 0, closed_as_stray = 0;
-  // The pool and the configuration.
+  // Discovery and the configuration.
   std::uint64_t watches = 0, watch_failures = 0, server_list_changes = 0;
   std::uint64_t reloads = 0, reloads_refused = 0;
 };
--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -1,7 +1,7 @@
-// The pool: discovery's list and the watch on its changes. Opens a watch when told to and says how it went;
-// when to try again is the module's to decide. Each watch that fails is told as such: one that is silent for
-// `Discovery::silence`, at whatever point it fell silent (without an answer, within a list), and sooner one
-// whose connection does not come up.
+// The server list that discovery tells, and the watch on its changes. Opens a watch when told to and reports
+// how it went; when to try again is the module's to decide. Each watch that fails is told as such: one that
+// is silent for `Tuning::Discovery::silence`, at whatever point it fell silent (without an answer, within a
+// list), and sooner one whose connection does not come up.
 #pragma once
 
 #include <functional>
@@ -24,8 +24,8 @@
 class DiscoveryWatch {
  public:
   // Called with each change, with an empty kDelta at a watch's first heartbeat if nothing came before it, and
-  // with kFailed once for each watch that could not be had or has ended. Calls nothing of the pool's that
-  // changes it.
+  // with kFailed once for each watch that could not be had or has ended. It must not call what
+  // changes this watch.
   using OnChange = std::function<void(Scope, std::vector<ServerListEntry>)>;
   DiscoveryWatch(event_base* base, const std::string& address, const Settings& settings,
        const Tuning::Discovery& tuning, ServerList known, Log& log, Counters& counters, OnChange on_change);
--- a/src/handover/predecessor.h
+++ b/src/handover/predecessor.h
@@ -19,9 +19,9 @@
 struct Inheritance {
   FileHandle channel;
   FileHandle listener;                                 // the clients' listening socket, shared with it
-  std::string discovery;                               // that told the pool; empty: not said
-  std::int64_t index = 0;                              // of the pool list
-  nlohmann::json endpoints = nlohmann::json::array();  // the pool, in discovery's form
+  std::string discovery;                               // that told the list; empty: not said
+  std::int64_t index = 0;                              // of the server list
+  nlohmann::json endpoints = nlohmann::json::array();  // the server list, in discovery's form
   std::int64_t keeps = 0;                              // descriptors that it may still hold
   std::int64_t memory = 0;                             // bytes of large values that it may still hold
   bool away = false;                                   // it was told to send clients away
--- a/src/handover/successor.cpp
+++ b/src/handover/successor.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::int64_t kOnTheWay = 24;        // clients sent and not yet taken
-constexpr std::size_t kEntriesAPacket = 100;  // of the pool
+constexpr std::size_t kEntriesAPacket = 100;  // of the server list
 // For a successor to say hello, and from the offer on to say that it is ready.
 constexpr std::chrono::milliseconds kHelloWithin{1000}, kReadyWithin{15000};
 
--- a/src/handover/successor.h
+++ b/src/handover/successor.h
@@ -20,7 +20,7 @@
   };
   struct Offer {
     int listener = -1;       // stays the caller's; -1: there is none any more
-    std::string discovery;   // the address where the pool was told
+    std::string discovery;   // that told the server list
     std::int64_t index = 0;  // and its version there
     Keeps keeps;
     std::vector<nlohmann::json> endpoints;
--- a/src/router/life_cycle.h
+++ b/src/router/life_cycle.h
@@ -1,7 +1,7 @@
 // Where the program stands between its start and its end: one state, moved by what happens to it. Free of I/O
 // and clocks; the router carries out what a move means.
 //
-//   starting --pool there--> serving <--LEAVE/JOIN--> leaving --late clients over--> emptying
+//   starting --list held--> serving <--LEAVE/JOIN--> leaving --late clients over--> emptying
 //   serving, leaving, emptying --successor ready--> handing over --successor lost--> where it was
 //   any --stop--> stopping --late clients over--> finishing (at once where a successor has the clients)
 #pragma once
@@ -27,7 +27,7 @@
 
   State state() const { return state_; }
   std::string_view name() const;
-  // Whether this process takes clients: it accepts and has a pool to serve from.
+  // Whether this process takes clients: it accepts and holds a server list.
   bool takes_clients() const;
   // Whether it was told to send clients away, as it hands on to a successor.
   bool away() const { return state_ == State::kLeaving || state_ == State::kEmptying; }
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -54,7 +54,7 @@
     return ReadServerList({{"index", index}, {"snapshot", true}, {"endpoints", inherited->endpoints}},
                         config.settings);
   } catch (const std::invalid_argument& error) {
-    log.Line("handover", std::string("the pool handed on cannot be used: ") + error.what());
+    log.Line("handover", std::string("the server list handed on cannot be used: ") + error.what());
     return config.known;
   }
 }
@@ -121,7 +121,7 @@
   decision_.ServerListChanged(Scope::kCached, std::move(entries));
   successor_.Open(door_);
   log_.Line("start", (predecessor_ ? "takes over " : "listening on ") + config.listen + ", " +
-                         std::to_string(known) + " pool entries known");
+                         std::to_string(known) + " servers known");
 }
 
 // ---- Life cycle -----------------------------------------------------------------------------------
--- a/src/stage/decision.h
+++ b/src/stage/decision.h
@@ -2,7 +2,7 @@
 // and numbers its requests. It decides nothing.
 //
 // The shop's words here and the module's there:
-//   pool          MembershipEvent, ServerEntry      transaction       RequestEvent, RequestId
+//   server list   MembershipEvent, ServerEntry      transaction       RequestEvent, RequestId
 //   pool member   Server                            server-side flow  Send, attempt, OutcomeEvent
 //   reject        Refuse
 #pragma once
@@ -66,7 +66,7 @@
   std::size_t transactions() const { return transactions_.size(); }
   std::size_t open() const { return open_ids_.size(); }  // taken and not yet answered
   const Balancer& balancer() const { return balancer_; }
-  // Called once, when there is a pool to serve from.
+  // Called once, when a server list is held.
   void OnReady(std::function<void()> then) { on_ready_ = std::move(then); }
 
  private:
--- a/src/stage/watching.h
+++ b/src/stage/watching.h
@@ -20,7 +20,7 @@
   // is rejected, and nothing more is told of it.
   virtual std::uint64_t Judge(const Request& request, Rationing* rationing, RequestEvent& event) = 0;
   virtual void Ended(std::uint64_t work, int cls, Fate fate, Duration took) = 0;
-  // The pool, as discovery tells of it.
+  // Changes of the server list, as discovery tells them.
   virtual void ServerListChanged(Scope scope, const std::vector<ServerEntry>& entries) = 0;
   // An attempt is about to go there.
   virtual void Sending(std::string_view server) = 0;
--- a/tests/net/operations_test.cpp
+++ b/tests/net/operations_test.cpp
@@ -77,7 +77,7 @@
 TEST_CASE("life cycle: whatever is crossed, one state, and a stop is the end") {
   using State = LifeCycle::State;
   LifeCycle life;
-  CHECK(life.Leave());  // before there is a pool
+  CHECK(life.Leave());  // before a server list is held
   CHECK(!life.takes_clients());
   CHECK(life.Join());
   CHECK(life.state() == State::kStarting);
--- a/tests/net/parsers_test.cpp
+++ b/tests/net/parsers_test.cpp
@@ -262,7 +262,7 @@
   CHECK(!load.service_ms);
 }
 
-TEST_CASE("lists of the pool") {
+TEST_CASE("lists of servers") {
   const Settings settings = TwoClasses();
   ServerList list = ParseServerList(
       R"({"index":41,"snapshot":true,"endpoints":[
--- a/tests/net/watch_stage.h
+++ b/tests/net/watch_stage.h
@@ -1,4 +1,4 @@
-// The pool alone on an event loop, and the scripted discovery that it watches.
+// The watch on discovery alone on an event loop, and the scripted discovery that it watches.
 #pragma once
 
 #include <csignal>
@@ -34,7 +34,7 @@
  public:
   explicit Watching(int silence_ms = 20000, std::int64_t index = 7, std::int64_t list_kb = 4096)
       : discovery(base.get()), tuning_{Milliseconds(silence_ms), list_kb} {
-    std::signal(SIGPIPE, SIG_IGN);  // as the program does: a peer writes to what the pool has closed
+    std::signal(SIGPIPE, SIG_IGN);  // as the program does: a peer writes to what the watch has closed
     known_.index = index;
     Open(discovery.port);
   }
--- a/tests/orders/life_cycle_test.cpp
+++ b/tests/orders/life_cycle_test.cpp
@@ -25,7 +25,7 @@
 
 TEST_CASE("orders: the life cycle is what has happened to it, whatever the sequence") {
   std::vector<orders::Happening<Life>> events = {
-      {"pool there", [](Life& life) { life.cycle.ServerListHeld(), life.list_held = true; }},
+      {"list held", [](Life& life) { life.cycle.ServerListHeld(), life.list_held = true; }},
       {"LEAVE",
        [](Life& life) {
          if (life.cycle.Leave()) life.left = true, life.late_over = false;
