--- a/src/config/config.h
+++ b/src/config/config.h
@@ -12,8 +12,8 @@
 
 #include "base/tuning.h"
 #include "compat/covers.h"
-#include "peatbend/balancer.h"
 #include "discovery/server_list.h"
+#include "peatbend/balancer.h"
 #include "rations/table.h"
 
 namespace peatbend {
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -27,7 +27,8 @@
 }  // namespace
 
 DiscoveryWatch::DiscoveryWatch(event_base* base, const std::string& address, const Settings& settings,
-           const Tuning::Discovery& tuning, ServerList known, Log& log, Counters& counters, OnChange on_change)
+                               const Tuning::Discovery& tuning, ServerList known, Log& log,
+                               Counters& counters, OnChange on_change)
     : base_(base),
       address_(address),
       settings_(settings),
--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -28,7 +28,8 @@
   // changes this watch.
   using OnChange = std::function<void(Scope, std::vector<ServerListEntry>)>;
   DiscoveryWatch(event_base* base, const std::string& address, const Settings& settings,
-       const Tuning::Discovery& tuning, ServerList known, Log& log, Counters& counters, OnChange on_change);
+                 const Tuning::Discovery& tuning, ServerList known, Log& log, Counters& counters,
+                 OnChange on_change);
 
   // The list as last held, and its version.
   const std::map<std::string, ServerListEntry>& held() const { return held_; }
--- a/src/member/member_connections.h
+++ b/src/member/member_connections.h
@@ -15,9 +15,9 @@
 #include "base/log.h"
 #include "base/socket_budget.h"
 #include "base/tuning.h"
+#include "discovery/server_list.h"
 #include "member/attempt.h"
 #include "member/server_codec.h"
-#include "discovery/server_list.h"
 #include "protocol/request.h"
 
 namespace peatbend::net {
--- a/src/router/life_cycle.h
+++ b/src/router/life_cycle.h
@@ -39,7 +39,7 @@
 
  private:
   bool Move(State to);
-  bool server_list_held_ = false;               // there is one: what JOIN goes back to
+  bool server_list_held_ = false;   // there is one: what JOIN goes back to
   State before_ = State::kServing;  // handing over or stopping: where it was
   bool handed_over_ = false;        // stopping: a successor has the clients
   State state_ = State::kStarting;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -52,7 +52,7 @@
   std::int64_t index = elsewhere ? 0 : inherited->index;
   try {
     return ReadServerList({{"index", index}, {"snapshot", true}, {"endpoints", inherited->endpoints}},
-                        config.settings);
+                          config.settings);
   } catch (const std::invalid_argument& error) {
     log.Line("handover", std::string("the server list handed on cannot be used: ") + error.what());
     return config.known;
@@ -69,13 +69,13 @@
       predecessor_memory_(inherited ? inherited->memory : 0),
       connections_(base, running_.settings, running_.tuning.members, sockets_, clock_, log_, counters_),
       decision_(
-          base, running_.settings, config.seed, connections_, [this] { discovery_watch_.KeepWatching(); }, clock_, log_,
-          counters_),
-      discovery_watch_(base, config.discovery, running_.settings, running_.tuning.discovery, Known(config, inherited, log_),
-            log_, counters_,
-            [this](Scope scope, std::vector<ServerListEntry> entries) {
-              decision_.ServerListChanged(scope, std::move(entries));
-            }),
+          base, running_.settings, config.seed, connections_, [this] { discovery_watch_.KeepWatching(); },
+          clock_, log_, counters_),
+      discovery_watch_(base, config.discovery, running_.settings, running_.tuning.discovery,
+                       Known(config, inherited, log_), log_, counters_,
+                       [this](Scope scope, std::vector<ServerListEntry> entries) {
+                         decision_.ServerListChanged(scope, std::move(entries));
+                       }),
       successor_(base, log_,
                  {.offer = [this] { return MakeOffer(); },
                   .ready = [this] { SuccessorReady(); },
--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -4,8 +4,8 @@
 #include <string>
 #include <vector>
 
-#include "net/watch_stage.h"
 #include "discovery/list_splitter.h"
+#include "net/watch_stage.h"
 
 namespace peatbend::net::test {
 namespace {
--- a/tests/net/parsers_test.cpp
+++ b/tests/net/parsers_test.cpp
@@ -5,10 +5,10 @@
 #include <vector>
 
 #include "config/config.h"
+#include "discovery/server_list.h"
 #include "doctest/doctest.h"
 #include "front/client_command.h"
 #include "member/server_codec.h"
-#include "discovery/server_list.h"
 #include "protocol/facts.h"
 #include "protocol/http1.h"
 #include "protocol/resp.h"
--- a/tests/net/watch_stage.h
+++ b/tests/net/watch_stage.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "net/stage.h"
 #include "discovery/discovery_watch.h"
+#include "net/stage.h"
 
 namespace peatbend::net::test {
 
@@ -39,11 +39,11 @@
     Open(discovery.port);
   }
   void Open(int port) {
-    discovery_watch.emplace(base.get(), "127.0.0.1:" + std::to_string(port), settings_, tuning_, known_, log_, counters,
-                 [this](Scope scope, std::vector<ServerListEntry> entries) {
-                   news.push_back(scope);
-                   told.push_back(entries.size());
-                 });
+    discovery_watch.emplace(base.get(), "127.0.0.1:" + std::to_string(port), settings_, tuning_, known_, log_,
+                            counters, [this](Scope scope, std::vector<ServerListEntry> entries) {
+                              news.push_back(scope);
+                              told.push_back(entries.size());
+                            });
     discovery_watch->Watch();
   }
   void Until(const std::function<bool()>& holds) { RunUntil(base.get(), holds); }
