--- a/src/base/counters.cpp
+++ b/src/base/counters.cpp
@@ -26,20 +26,20 @@
   add("client_malformed", c.client_malformed);
   add("pings", c.pings);
   add("unknown_commands", c.unknown_commands);
-  add("transactions", c.transactions);
-  add("transactions_gone", c.transactions_gone);
+  add("requests", c.requests);
+  add("requests_abandoned", c.requests_abandoned);
   add("served", c.Sum(&Counters::OfClass::served));
   add("rejected", c.Sum(&Counters::OfClass::rejected));
   add("failed", c.Sum(&Counters::OfClass::failed));
   add("values_cut", c.values_cut);
-  add("flows", c.flows);
-  add("flows_to_origin", c.flows_to_origin);
+  add("attempts", c.attempts);
+  add("attempts_to_origin", c.attempts_to_origin);
   add("dispatches", c.dispatches);
   add("dials", c.dials);
   add("reused", c.reused);
   add("not_sent_no_socket", c.not_sent_no_socket);
   for (std::size_t i = 0; i < std::size(kResults); ++i) {
-    add(std::string("flow_").append(kResults[i]), c.outcomes[i]);
+    add(std::string("attempt_").append(kResults[i]), c.outcomes[i]);
   }
   add("member_malformed", c.member_malformed);
   add("closed_as_stray", c.closed_as_stray);
--- a/src/base/counters.h
+++ b/src/base/counters.h
@@ -16,7 +16,7 @@
   std::uint64_t clients_accepted = 0, clients_closed = 0, clients_closed_for_room = 0;
   std::uint64_t clients_closed_as_idle = 0, ids_in_use = 0;
   std::uint64_t client_malformed = 0, pings = 0, unknown_commands = 0;
-  std::uint64_t transactions = 0, transactions_gone = 0, values_cut = 0;
+  std::uint64_t requests = 0, requests_abandoned = 0, values_cut = 0;
   // Answered, by class: at the one final answer.
   struct OfClass {
     std::uint64_t served = 0, rejected = 0, failed = 0;
@@ -24,7 +24,7 @@
   std::vector<OfClass> classes;  // as the settings number them
   std::uint64_t Sum(std::uint64_t OfClass::* count) const;
   // Sent.
-  std::uint64_t flows = 0, flows_to_origin = 0, dispatches = 0, dials = 0, reused = 0, not_sent_no_socket = 0;
+  std::uint64_t attempts = 0, attempts_to_origin = 0, dispatches = 0, dials = 0, reused = 0, not_sent_no_socket = 0;
   std::array<std::uint64_t, 9> outcomes{};  // by Result
   std::uint64_t member_malformed = 0, closed_as_stray = 0;
   // Discovery and the configuration.
--- a/src/base/cargo.h
+++ b/src/base/decode_error.h
@@ -8,11 +8,11 @@
 
 constexpr std::uint64_t kAny = ~std::uint64_t{0};
 
-enum class Fault : std::uint8_t { kNone, kMalformed, kSeats };
+enum class DecodeError : std::uint8_t { kNone, kMalformed, kReplicaSet };
 
 // For the log: what that router's words are.
-inline const char* Text(Fault fault) {
-  return fault == Fault::kSeats ? "reckons with other seats" : "is malformed";
+inline const char* Text(DecodeError error) {
+  return error == DecodeError::kReplicaSet ? "has another replica set" : "is malformed";
 }
 
 }  // namespace peatbend::net
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -20,7 +20,7 @@
 
 void Log::Line(std::string_view kind, std::string_view text) { Write(kind, text, {}); }
 
-void Log::Counts(std::string_view kind, std::span<const Count> counts) {
+void Log::Metrics(std::string_view kind, std::span<const Count> counts) {
   std::string text;
   for (const auto& [name, value] : counts) {
     fmt::format_to(std::back_inserter(text), "{}{}={}", text.empty() ? "" : " ", name, value);
@@ -36,10 +36,10 @@
     bound.lines = 0;
   }
   if (++bound.lines > tuning_.lines_of_a_kind) {
-    ++bound.held_back;
+    ++bound.suppressed;
     return;
   }
-  std::uint64_t held_back = std::exchange(bound.held_back, 0);
+  std::uint64_t suppressed = std::exchange(bound.suppressed, 0);
   std::string line;
   if (tuning_.format == "json") {
     nlohmann::ordered_json object{
@@ -48,11 +48,11 @@
         {"kind", kind}};
     if (counts.empty()) object["text"] = text;
     for (const auto& [name, value] : counts) object["counts"][name] = value;
-    if (held_back > 0) object["held_back"] = held_back;
+    if (suppressed > 0) object["suppressed"] = suppressed;
     line = object.dump(-1, ' ', true, nlohmann::json::error_handler_t::replace);
   } else {
     line = fmt::format("peatbend {}: {}: {}", name_, kind, text);
-    if (held_back > 0) line += fmt::format(" ({} lines of this kind held back)", held_back);
+    if (suppressed > 0) line += fmt::format(" ({} lines of this kind held back)", suppressed);
     // What a stranger sent must not forge a line.
     std::ranges::replace_if(
         line, [](char c) { return static_cast<unsigned char>(c) < ' '; }, ' ');
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -22,13 +22,13 @@
   void Line(std::string_view kind, std::string_view text);
   // A line of names and numbers: "a=1 b=2", or fields of the JSON object.
   using Count = std::pair<std::string, std::uint64_t>;
-  void Counts(std::string_view kind, std::span<const Count> counts);
+  void Metrics(std::string_view kind, std::span<const Count> counts);
 
  private:
   struct Bound {
     TimePoint from{};
     std::int64_t lines = 0;
-    std::uint64_t held_back = 0;
+    std::uint64_t suppressed = 0;
   };
   void Write(std::string_view kind, std::string_view text, std::span<const Count> counts);
 
--- a/src/base/memory_budget.h
+++ b/src/base/memory_budget.h
@@ -13,18 +13,18 @@
 };
 
 // Bytes of the budget, given back when it goes. The budget must outlive it.
-class Booking {
+class MemoryReservation {
  public:
-  Booking() = default;
-  explicit Booking(MemoryBudget& budget) : budget_(&budget) {}
-  Booking(Booking&& other) noexcept
+  MemoryReservation() = default;
+  explicit MemoryReservation(MemoryBudget& budget) : budget_(&budget) {}
+  MemoryReservation(MemoryReservation&& other) noexcept
       : budget_(std::exchange(other.budget_, nullptr)), size_(std::exchange(other.size_, 0)) {}
-  Booking& operator=(Booking&& other) noexcept {
+  MemoryReservation& operator=(MemoryReservation&& other) noexcept {
     std::swap(budget_, other.budget_);
     std::swap(size_, other.size_);
     return *this;
   }
-  ~Booking() { Set(0); }
+  ~MemoryReservation() { Set(0); }
   std::size_t size() const { return size_; }
   // Books `size` in all, whether there is room or not.
   void Set(std::size_t size) {
--- a/src/base/pack.h
+++ b/src/base/msgpack.h
@@ -9,60 +9,60 @@
 #include <string>
 #include <string_view>
 
-#include "base/cargo.h"
+#include "base/decode_error.h"
 
 namespace peatbend::net {
 
-class PackWriter {
+class MsgpackWriter {
  public:
   // Appends; `into` outlives it.
-  explicit PackWriter(std::string& into) : into_(into) {}
-  PackWriter& Number(std::uint64_t number) {
+  explicit MsgpackWriter(std::string& into) : into_(into) {}
+  MsgpackWriter& Number(std::uint64_t number) {
     if (number < 0x80) return Byte(number);
     unsigned size = number <= 0xff ? 0 : number <= 0xffff ? 1 : number <= 0xffffffff ? 2 : 3;
     return Led(0xcc + size, number, 1u << size);
   }
-  PackWriter& Flag(bool flag) { return Byte(flag ? 0xc3 : 0xc2); }
-  PackWriter& Array(std::size_t size) {
+  MsgpackWriter& Flag(bool flag) { return Byte(flag ? 0xc3 : 0xc2); }
+  MsgpackWriter& Array(std::size_t size) {
     if (size < 16) return Byte(0x90 | size);
     return size <= 0xffff ? Led(0xdc, size, 2) : Led(0xdd, size, 4);
   }
-  PackWriter& Text(std::string_view text) {
+  MsgpackWriter& Text(std::string_view text) {
     if (text.size() < 32) return Byte(0xa0 | text.size()).Raw(text);
     return Length(0xd9, text.size()).Raw(text);
   }
-  PackWriter& Blob(std::string_view bytes) { return Length(0xc4, bytes.size()).Raw(bytes); }
+  MsgpackWriter& Blob(std::string_view bytes) { return Length(0xc4, bytes.size()).Raw(bytes); }
   // Values that are written already.
-  PackWriter& Raw(std::string_view bytes) {
+  MsgpackWriter& Raw(std::string_view bytes) {
     into_.append(bytes);
     return *this;
   }
 
  private:
-  PackWriter& Byte(std::uint64_t byte) {
+  MsgpackWriter& Byte(std::uint64_t byte) {
     into_.push_back(static_cast<char>(byte));
     return *this;
   }
   // A first byte, and a number in so many, the highest first.
-  PackWriter& Led(unsigned first, std::uint64_t number, unsigned size) {
+  MsgpackWriter& Led(unsigned first, std::uint64_t number, unsigned size) {
     char bytes[9] = {static_cast<char>(first)};
     for (unsigned i = size; i > 0; --i, number >>= 8) bytes[i] = static_cast<char>(number);
     into_.append(bytes, size + 1);
     return *this;
   }
-  PackWriter& Length(unsigned first, std::size_t size) {
+  MsgpackWriter& Length(unsigned first, std::size_t size) {
     unsigned more = size <= 0xff ? 0 : size <= 0xffff ? 1 : 2;
     return Led(first + more, size, 1u << more);
   }
   std::string& into_;
 };
 
-class PackReader {
+class MsgpackReader {
  public:
   // `bytes` outlive it.
-  explicit PackReader(std::string_view bytes) : rest_(bytes) {}
+  explicit MsgpackReader(std::string_view bytes) : rest_(bytes) {}
   template <typename T>
-  PackReader& Number(T& into, std::uint64_t most) {
+  MsgpackReader& Number(T& into, std::uint64_t most) {
     unsigned first = Byte();
     std::uint64_t number = first;
     if (first >= 0x80) number = first >= 0xcc && first <= 0xcf ? Bytes(1u << (first - 0xcc)) : Fail();
@@ -70,14 +70,14 @@
     if (fine_) into = static_cast<T>(number);
     return *this;
   }
-  PackReader& Flag(bool& into) {
+  MsgpackReader& Flag(bool& into) {
     unsigned first = Byte();
     if (first != 0xc2 && first != 0xc3) Fail();
     if (fine_) into = first == 0xc3;
     return *this;
   }
   // An array's beginning; what is in it follows.
-  PackReader& Array(std::size_t& size, std::size_t least, std::size_t most) {
+  MsgpackReader& Array(std::size_t& size, std::size_t least, std::size_t most) {
     unsigned first = Byte();
     std::uint64_t many = first & 0x0f;
     if (first < 0x90 || first > 0x9f) many = first == 0xdc ? Bytes(2) : first == 0xdd ? Bytes(4) : Fail();
@@ -85,19 +85,19 @@
     size = fine_ ? static_cast<std::size_t>(many) : 0;
     return *this;
   }
-  PackReader& Text(std::string& into, std::size_t most) {
+  MsgpackReader& Text(std::string& into, std::size_t most) {
     unsigned first = Byte();
     std::uint64_t size = first & 0x1f;
     if (first < 0xa0 || first > 0xbf)
       size = first >= 0xd9 && first <= 0xdb ? Bytes(1u << (first - 0xd9)) : Fail();
     return Take(into, size, most);
   }
-  PackReader& Blob(std::string& into, std::size_t most) {
+  MsgpackReader& Blob(std::string& into, std::size_t most) {
     unsigned first = Byte();
     return Take(into, first >= 0xc4 && first <= 0xc6 ? Bytes(1u << (first - 0xc4)) : Fail(), most);
   }
   // Passes over so many values of any kind, nested no deeper than that.
-  PackReader& Skip(std::size_t values, int deepest);
+  MsgpackReader& Skip(std::size_t values, int deepest);
   bool fine() const { return fine_; }
   bool done() const { return fine_ && rest_.empty(); }
 
@@ -115,7 +115,7 @@
     rest_.remove_prefix(size);
     return number;
   }
-  PackReader& Take(std::string& into, std::uint64_t size, std::size_t most) {
+  MsgpackReader& Take(std::string& into, std::uint64_t size, std::size_t most) {
     if (size > most || size > rest_.size()) Fail();
     if (!fine_) return *this;
     into.assign(rest_.substr(0, size));
@@ -130,7 +130,7 @@
   bool fine_ = true;
 };
 
-inline PackReader& PackReader::Skip(std::size_t values, int deepest) {
+inline MsgpackReader& MsgpackReader::Skip(std::size_t values, int deepest) {
   for (; values > 0 && fine_; --values) {
     unsigned first = Byte();
     std::uint64_t within = 0;  // values nested in it
--- a/src/base/packed.h
+++ b/src/base/msgpack_fields.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "base/cargo.h"
+#include "base/decode_error.h"
 
 namespace peatbend::net {
 
@@ -48,23 +48,23 @@
 }
 
 // Takes the fields of an array one after another; fails once and for all at the first that does not fit.
-class Fields {
+class FieldReader {
  public:
-  explicit Fields(const nlohmann::json& array) : array_(array), fine_(array.is_array()) {}
+  explicit FieldReader(const nlohmann::json& array) : array_(array), fine_(array.is_array()) {}
   template <typename T>
-  Fields& Number(T& into, std::uint64_t most) {
+  FieldReader& Number(T& into, std::uint64_t most) {
     const nlohmann::json* at = Next();
     if (at == nullptr || !at->is_number_unsigned() || at->get<std::uint64_t>() > most) return Fail();
     into = static_cast<T>(at->get<std::uint64_t>());
     return *this;
   }
-  Fields& Flag(bool& into) {
+  FieldReader& Flag(bool& into) {
     const nlohmann::json* at = Next();
     if (at == nullptr || !at->is_boolean()) return Fail();
     into = at->get<bool>();
     return *this;
   }
-  Fields& Text(std::string& into, std::size_t most) {
+  FieldReader& Text(std::string& into, std::size_t most) {
     const nlohmann::json* at = Next();
     if (at == nullptr || !at->is_string()) return Fail();
     const auto& text = at->get_ref<const std::string&>();
@@ -72,7 +72,7 @@
     into = text;
     return *this;
   }
-  Fields& Blob(std::string& into, std::size_t most) {
+  FieldReader& Blob(std::string& into, std::size_t most) {
     const nlohmann::json* at = Next();
     if (at == nullptr || !at->is_binary() || at->get_binary().size() > most) return Fail();
     into.assign(at->get_binary().begin(), at->get_binary().end());
@@ -85,7 +85,7 @@
   bool fine() const { return fine_; }
 
  private:
-  Fields& Fail() {
+  FieldReader& Fail() {
     fine_ = false;
     return *this;
   }
@@ -96,22 +96,22 @@
 
 // What stands in [seats, [one, ...]], each taken by `read`. `all` is whole where there is no fault, else empty.
 template <typename One, typename Read>
-Fault Open(std::string_view bytes, int deepest, std::uint64_t seats, std::size_t most, std::vector<One>& all,
+DecodeError ReadEnvelope(std::string_view bytes, int deepest, std::uint64_t seats, std::size_t most, std::vector<One>& all,
            Read read) {
   all.clear();
   nlohmann::json array = Unpack(bytes, deepest);
-  if (array.is_discarded()) return Fault::kMalformed;
-  Fields fields(array);
+  if (array.is_discarded()) return DecodeError::kMalformed;
+  FieldReader fields(array);
   std::uint64_t its_seats = 0;
   const nlohmann::json* ones = fields.Number(its_seats, kAny).Next();
-  if (!fields.fine() || ones == nullptr || !ones->is_array() || ones->size() > most) return Fault::kMalformed;
-  if (its_seats != seats) return Fault::kSeats;
+  if (!fields.fine() || ones == nullptr || !ones->is_array() || ones->size() > most) return DecodeError::kMalformed;
+  if (its_seats != seats) return DecodeError::kReplicaSet;
   for (const nlohmann::json& one : *ones) {
     if (read(one, all.emplace_back())) continue;
     all.clear();
-    return Fault::kMalformed;
+    return DecodeError::kMalformed;
   }
-  return Fault::kNone;
+  return DecodeError::kNone;
 }
 
 }  // namespace peatbend::net
--- a/src/base/tuning.h
+++ b/src/base/tuning.h
@@ -37,13 +37,13 @@
     Milliseconds about_to_ask{100};  // silent for less: may be about to ask
     bool operator==(const Clients&) const = default;
   } clients;
-  struct Members {
+  struct Backends {
     // Of the time after which a member closes an idle connection: closed by the router. The rest covers a
     // request that would otherwise cross the member's close and end as a reset.
     double idle_share = 0.8;
     Milliseconds settle{10};                            // an answer's connection rests so long
     Milliseconds dial_timeout{1000}, keepalive{10000};  // where the deployment states none
-    bool operator==(const Members&) const = default;
+    bool operator==(const Backends&) const = default;
   } members;
   struct Discovery {
     Milliseconds silence{3000};  // of a watch; then it is made anew
@@ -64,14 +64,14 @@
     Milliseconds suspicion_least{700}, suspicion_most{1400}, stall{400};
     bool operator==(const Peers&) const = default;
   } peers;
-  struct Takeover {  // see docs/takeover.md
+  struct Failover {  // see docs/takeover.md
     Milliseconds send_within{200}, stands_within{250}, ends_within{500}, linger{5000};
-    bool operator==(const Takeover&) const = default;
+    bool operator==(const Failover&) const = default;
   } takeover;
-  struct Rations {  // see docs/rations.md
+  struct Quota {  // see docs/rations.md
     Milliseconds draw{20}, again{40}, alone_after{300}, idle{1000};
     std::int64_t buckets = 100000;
-    bool operator==(const Rations&) const = default;
+    bool operator==(const Quota&) const = default;
   } rations;
   struct Overload {  // see docs/overload.md
     std::int64_t dials_per_second = 20;
--- a/src/compat/bureau.cpp
+++ b/src/compat/bureau.cpp
@@ -180,7 +180,7 @@
   switch (say.kind) {
     case SayKind::kRegister: {
       std::vector<Message> messages;
-      if (takeover::Decode(say.bytes, print_, messages) != takeover::Fault::kNone) return;
+      if (takeover::Decode(say.bytes, print_, messages) != takeover::DecodeError::kNone) return;
       for (const Message& message : messages) {
         bool answer = message.kind == Kind::kPromise || message.kind == Kind::kAccepted ||
                       message.kind == Kind::kRefused;
--- a/src/compat/catalogue.cpp
+++ b/src/compat/catalogue.cpp
@@ -2,11 +2,11 @@
 
 #include <algorithm>
 
-#include "base/packed.h"
+#include "base/msgpack_fields.h"
 
 namespace peatbend::compat {
 
-using net::Fields;
+using net::FieldReader;
 using net::kAny;
 using nlohmann::json;
 
@@ -248,7 +248,7 @@
   if (from == nullptr || !from->is_array() || from->size() > kMostVersions) return false;
   for (const json& each : *from) {
     Version& version = into.emplace_back();
-    Fields fields(each);
+    FieldReader fields(each);
     fields.Text(version.schema, limits.bytes)
         .Number(version.language, 0xffffffffu)
         .Number(version.print, kAny);
@@ -262,7 +262,7 @@
   for (const json& each : *from) {
     std::string name;
     Standing standing;
-    Fields fields(each);
+    FieldReader fields(each);
     fields.Text(name, bounds.name)
         .Number(standing.statement, kAny)
         .Number(standing.evidence, static_cast<std::uint64_t>(Evidence::kRetired))
@@ -287,7 +287,7 @@
   if (bytes.size() > bounds.bytes) return std::nullopt;
   json array = net::Unpack(bytes, 6);
   if (array.is_discarded()) return std::nullopt;
-  Fields fields(array);
+  FieldReader fields(array);
   std::uint64_t form = 0;
   const json* all = fields.Number(form, kForm).Next();
   if (form != kForm || all == nullptr || !all->is_array() || all->size() > bounds.subjects)
@@ -295,7 +295,7 @@
   for (const json& each : *all) {
     std::string name;
     Subject subject;
-    Fields of(each);
+    FieldReader of(each);
     of.Text(name, bounds.name)
         .Number(subject.policy.carries, static_cast<std::uint64_t>(Carries::kLanguages))
         .Number(subject.policy.mode, static_cast<std::uint64_t>(Mode::kBoth))
--- a/src/compat/schema.cpp
+++ b/src/compat/schema.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <limits>
 
-#include "base/packed.h"
+#include "base/msgpack_fields.h"
 #include "compat/defaults.h"
 
 namespace peatbend::compat {
--- a/src/compat/wire.cpp
+++ b/src/compat/wire.cpp
@@ -2,12 +2,12 @@
 
 #include <nlohmann/json.hpp>
 
-#include "base/packed.h"
+#include "base/msgpack_fields.h"
 
 namespace peatbend::compat {
 namespace {
 
-using net::Fields;
+using net::FieldReader;
 using net::kAny;
 using nlohmann::json;
 using takeover::Ballot;
@@ -21,7 +21,7 @@
 }
 bool Read(const json* from, Ballot& ballot) {
   if (from == nullptr) return false;
-  Fields fields(*from);
+  FieldReader fields(*from);
   return fields.Number(ballot.round, kAny)
       .Text(ballot.author.name, kMostName)
       .Number(ballot.author.life, kAny)
@@ -39,7 +39,7 @@
   for (const json& one : *from) {
     std::string name;
     std::uint64_t number = 0;
-    if (!Fields(one).Text(name, kMostName).Number(number, kAny).fine()) return false;
+    if (!FieldReader(one).Text(name, kMostName).Number(number, kAny).fine()) return false;
     numbers[name] = number;
   }
   return true;
@@ -55,11 +55,11 @@
   return bytes;
 }
 
-Fault Decode(std::string_view bytes, std::uint64_t seats, Say& say) {
-  if (bytes.empty() || static_cast<unsigned char>(bytes[0]) != kLead) return Fault::kMalformed;
+DecodeError Decode(std::string_view bytes, std::uint64_t seats, Say& say) {
+  if (bytes.empty() || static_cast<unsigned char>(bytes[0]) != kLead) return DecodeError::kMalformed;
   json array = net::Unpack(bytes.substr(1), kNested);
-  if (array.is_discarded()) return Fault::kMalformed;
-  Fields fields(array);
+  if (array.is_discarded()) return DecodeError::kMalformed;
+  FieldReader fields(array);
   std::uint64_t its_seats = 0;
   fields.Number(its_seats, kAny)
       .Number(say.kind, static_cast<std::uint64_t>(SayKind::kBook))
@@ -68,8 +68,8 @@
       .Number(say.at, kAny)
       .Number(say.total, kAny);
   if (!fields.fine() || !Read(fields.Next(), say.ballot) || !fields.Blob(say.bytes, kMostChunk).fine())
-    return Fault::kMalformed;
-  return its_seats == seats ? Fault::kNone : Fault::kSeats;
+    return DecodeError::kMalformed;
+  return its_seats == seats ? DecodeError::kNone : DecodeError::kReplicaSet;
 }
 
 std::string Memory::Bytes() const {
@@ -85,7 +85,7 @@
   if (array.is_discarded()) return std::nullopt;
   Memory read;
   std::uint64_t form = 0;
-  Fields fields(array);
+  FieldReader fields(array);
   fields.Number(form, kForm).Flag(read.sits).Number(read.life, kAny).Number(read.founding, kAny);
   if (!fields.fine() || form != kForm || !compat::Read(fields.Next(), read.promised) ||
       !compat::Read(fields.Next(), read.kept))
--- a/src/compat/wire.h
+++ b/src/compat/wire.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-#include "base/cargo.h"
+#include "base/decode_error.h"
 #include "takeover/record.h"
 
 namespace peatbend::compat {
@@ -37,9 +37,9 @@
 
 // `seats`: takeover::Seats::print() of the sender; who reckons with other seats is not listened to.
 std::string Encode(std::uint64_t seats, const Say& say);
-using net::Fault;
+using net::DecodeError;
 // Reads what a stranger may have written. Never throws.
-Fault Decode(std::string_view bytes, std::uint64_t seats, Say& say);
+DecodeError Decode(std::string_view bytes, std::uint64_t seats, Say& say);
 
 // What a seat has promised and accepted; what it has told others that start anew. A seat that is started with
 // all of it again has forgotten nothing.
--- a/src/front/client_session.cpp
+++ b/src/front/client_session.cpp
@@ -109,7 +109,7 @@
     bool malformed = command.kind == ClientCommand::Kind::kMalformed;
     return Malformed(malformed ? command.complaint : "a value that does not belong to the command"), false;
   }
-  Booking memory(home_.memory());
+  MemoryReservation memory(home_.memory());
   if (!memory.Try(parser_.body())) {  // not read till others are done with theirs
     waits_for_room_ = true;
     read_pause_.Pause();
--- a/src/member/member_connections.cpp
+++ b/src/member/member_connections.cpp
@@ -171,7 +171,7 @@
 }
 
 MemberConnections::MemberConnections(event_base* base, const Settings& settings,
-                                     const Tuning::Members& tuning, SocketBudget& sockets, const Clock& clock,
+                                     const Tuning::Backends& tuning, SocketBudget& sockets, const Clock& clock,
                                      Log& log, Counters& counters)
     : base_(base),
       settings_(settings),
@@ -234,8 +234,8 @@
   Member& member = found->second;
   if (clock_.Now() > member.begin_until) return nullptr;
   MemberConnection* connection = nullptr;
-  ++counters_.flows;
-  if (member.origin) ++counters_.flows_to_origin;
+  ++counters_.attempts;
+  if (member.origin) ++counters_.attempts_to_origin;
   if ((connection = TakeIdle(member)) != nullptr) {
     ++counters_.reused;
   } else {
--- a/src/member/member_connections.h
+++ b/src/member/member_connections.h
@@ -103,7 +103,7 @@
 
 class MemberConnections {
  public:
-  MemberConnections(event_base* base, const Settings& settings, const Tuning::Members& tuning,
+  MemberConnections(event_base* base, const Settings& settings, const Tuning::Backends& tuning,
                     SocketBudget& sockets, const Clock& clock, Log& log, Counters& counters);
 
   void Learn(Scope scope, const std::vector<ServerListEntry>& entries);
@@ -125,7 +125,7 @@
 
   event_base* base_;
   const Settings& settings_;
-  const Tuning::Members& tuning_;
+  const Tuning::Backends& tuning_;
   SocketBudget& sockets_;
   const Clock& clock_;
   Log& log_;
--- a/src/overload/sign.cpp
+++ b/src/overload/sign.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-#include "base/packed.h"
+#include "base/msgpack_fields.h"
 
 namespace peatbend::overload {
 namespace {
@@ -46,7 +46,7 @@
   if (bytes.size() > kMostSign) return false;
   json array = net::Unpack(bytes, kDeepest);
   if (!array.is_array() || array.size() != 12) return false;
-  net::Fields fields(array);
+  net::FieldReader fields(array);
   std::string bins;
   fields.Number(sign.process, kAny).Number(sign.window, kAny >> 1).Number(sign.span_ms, kMostSpan);
   fields.Blob(bins, kMarks + 2 * kBins)
@@ -70,11 +70,11 @@
   if (next != bins.size()) return false;
   for (const json& one : *tenants) {
     TenantWork& tenant = sign.tenants.emplace_back();
-    if (!net::Fields(one).Number(tenant.tenant, 0xffff).Number(tenant.work, 0xffffffffu).fine()) return false;
+    if (!net::FieldReader(one).Number(tenant.tenant, 0xffff).Number(tenant.work, 0xffffffffu).fine()) return false;
   }
   for (const json& one : *trials) {
     TrialNews& news = sign.trials.emplace_back();
-    net::Fields of(one);
+    net::FieldReader of(one);
     of.Number(news.member, 0xffffffffu).Number(news.epoch, 0xffffffffu);
     if (!of.Number(news.step, static_cast<std::uint64_t>(TrialStep::kPassed)).fine()) return false;
   }
--- a/src/peers/message.cpp
+++ b/src/peers/message.cpp
@@ -3,26 +3,26 @@
 #include <algorithm>
 #include <utility>
 
-#include "base/pack.h"
+#include "base/msgpack.h"
 
 namespace peatbend::peers {
 namespace {
 
 using net::kAny;
-using net::PackReader;
-using net::PackWriter;
+using net::MsgpackReader;
+using net::MsgpackWriter;
 
 constexpr std::size_t kFields = 17, kRecordFields = 11;  // that this version knows, beside the cargo
 constexpr std::size_t kMostFields = 0xffff, kLeastRecord = kRecordFields + 1;
 constexpr int kDeepest = 3;  // message, records, record
 
-void Write(PackWriter& to, const Record& r) {
+void Write(MsgpackWriter& to, const Record& r) {
   to.Array(kRecordFields).Text(r.name).Number(r.life).Number(r.birth).Number(r.claim);
   to.Number(static_cast<std::uint64_t>(r.state)).Text(r.by).Text(r.address).Text(r.zone);
   to.Text(r.version).Text(r.serves).Blob(r.note);
 }
 
-bool Read(PackReader& from, Record& r) {
+bool Read(MsgpackReader& from, Record& r) {
   std::size_t fields = 0;
   from.Array(fields, kRecordFields, kMostFields);
   from.Text(r.name, kMostName).Number(r.life, kAny).Number(r.birth, kAny).Number(r.claim, 0xffffffffu);
@@ -38,7 +38,7 @@
 std::string Encode(const Message& m) {
   std::string bytes;
   bytes.reserve(160 + m.cargo.size() + 96 * m.records.size());
-  PackWriter to(bytes);
+  MsgpackWriter to(bytes);
   bool cargo = m.kind == Kind::kCargo;
   to.Array(kFields + (cargo ? 1 : 0)).Number(kVersion).Number(kVersion).Text(m.fleet);
   to.Number(static_cast<std::uint64_t>(m.kind)).Text(m.from).Text(m.reply).Number(m.life).Number(m.birth);
@@ -57,7 +57,7 @@
 
 Fault Decode(std::string_view bytes, std::size_t most, std::string_view fleet, Message& m) {
   if (bytes.size() > most) return Fault::kOversized;
-  PackReader from(bytes);
+  MsgpackReader from(bytes);
   std::size_t fields = 0, records = 0;
   unsigned version = 0, least = 0;
   std::string its_fleet;
--- a/src/rations/wire.cpp
+++ b/src/rations/wire.cpp
@@ -2,25 +2,25 @@
 
 #include <algorithm>
 
-#include "base/pack.h"
+#include "base/msgpack.h"
 
 namespace peatbend::rations {
 namespace {
 
 using net::kAny;
-using net::PackReader;
-using net::PackWriter;
+using net::MsgpackReader;
+using net::MsgpackWriter;
 
 constexpr std::size_t kMostName = 64, kFields = 9;
 constexpr std::size_t kAround = 24;     // bytes of a parcel beside its messages, at most
 constexpr std::size_t kLeastEntry = 5;  // bytes
 constexpr std::uint64_t kMostTokens = 1'000'000'000, kMostWait = 3'600'000;
 
-void Write(PackWriter& to, const Go& go) {
+void Write(MsgpackWriter& to, const Go& go) {
   to.Array(4).Number(go.round).Text(go.router).Number(go.nonce).Number(go.number);
 }
 
-void Write(PackWriter& to, const Message& m) {
+void Write(MsgpackWriter& to, const Message& m) {
   to.Array(kFields).Number(static_cast<std::uint64_t>(m.kind)).Number(m.shard);
   Write(to, m.go);
   Write(to, m.met);
@@ -36,11 +36,11 @@
 std::string Around(std::uint64_t seats, std::size_t messages, std::string_view body) {
   std::string bytes(1, static_cast<char>(kLead));
   bytes.reserve(body.size() + kAround);
-  PackWriter(bytes).Array(3).Number(kForm).Number(seats).Array(messages).Raw(body);
+  MsgpackWriter(bytes).Array(3).Number(kForm).Number(seats).Array(messages).Raw(body);
   return bytes;
 }
 
-bool Read(PackReader& from, Go& go) {
+bool Read(MsgpackReader& from, Go& go) {
   std::size_t fields = 0;
   return from.Array(fields, 4, 4)
       .Number(go.round, kAny)
@@ -50,7 +50,7 @@
       .fine();
 }
 
-bool Read(PackReader& from, Entry& entry) {
+bool Read(MsgpackReader& from, Entry& entry) {
   std::size_t fields = 0;
   from.Array(fields, 4, 2 + 2 * kDeepest).Number(entry.want, kMostTokens).Number(entry.wait_ms, kMostWait);
   if (!from.fine() || fields % 2 != 0) return false;
@@ -60,7 +60,7 @@
   return from.fine();
 }
 
-bool Read(PackReader& from, Message& m, std::size_t bytes) {
+bool Read(MsgpackReader& from, Message& m, std::size_t bytes) {
   std::size_t fields = 0, entries = 0;
   from.Array(fields, kFields, kFields)
       .Number(m.kind, static_cast<std::uint64_t>(MessageKind::kElsewhere))
@@ -79,7 +79,7 @@
 
 bool Parcel::Add(const Message& message, std::size_t most) {
   std::size_t before = body_.size();
-  PackWriter to(body_);
+  MsgpackWriter to(body_);
   Write(to, message);
   if (messages_ > 0 && (body_.size() + kAround > most || messages_ >= kMostTogether)) {
     body_.resize(before);
@@ -98,28 +98,28 @@
 
 std::string Encode(std::uint64_t seats, const std::vector<Message>& messages) {
   std::string body;
-  PackWriter to(body);
+  MsgpackWriter to(body);
   for (const Message& message : messages) Write(to, message);
   return Around(seats, messages.size(), body);
 }
 
-Fault Decode(std::string_view bytes, std::uint64_t seats, std::vector<Message>& messages) {
+DecodeError Decode(std::string_view bytes, std::uint64_t seats, std::vector<Message>& messages) {
   messages.clear();
-  if (bytes.empty() || static_cast<unsigned char>(bytes[0]) != kLead) return Fault::kMalformed;
-  PackReader from(bytes.substr(1));
+  if (bytes.empty() || static_cast<unsigned char>(bytes[0]) != kLead) return DecodeError::kMalformed;
+  MsgpackReader from(bytes.substr(1));
   std::size_t fields = 0, many = 0;
   unsigned form = 0;
   std::uint64_t its_seats = 0;
   from.Array(fields, 3, 3).Number(form, kAny).Number(its_seats, kAny);
-  if (!from.fine() || form != kForm) return Fault::kMalformed;
+  if (!from.fine() || form != kForm) return DecodeError::kMalformed;
   from.Array(many, 0, kMostTogether);
-  if (from.fine() && its_seats != seats) return Fault::kSeats;
+  if (from.fine() && its_seats != seats) return DecodeError::kReplicaSet;
   for (; from.fine() && many > 0; --many) {
     if (!Read(from, messages.emplace_back(), bytes.size())) break;
   }
-  if (many == 0 && from.done()) return Fault::kNone;
+  if (many == 0 && from.done()) return DecodeError::kNone;
   messages.clear();
-  return Fault::kMalformed;
+  return DecodeError::kMalformed;
 }
 
 }  // namespace peatbend::rations
--- a/src/rations/wire.h
+++ b/src/rations/wire.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "base/cargo.h"
+#include "base/decode_error.h"
 #include "rations/message.h"
 
 namespace peatbend::rations {
@@ -36,9 +36,9 @@
 };
 std::string Encode(std::uint64_t seats, const std::vector<Message>& messages);
 
-using net::Fault;
+using net::DecodeError;
 // Reads what a stranger may have written. Never throws; `messages` is whole where there is no fault, else
 // empty.
-Fault Decode(std::string_view bytes, std::uint64_t seats, std::vector<Message>& messages);
+DecodeError Decode(std::string_view bytes, std::uint64_t seats, std::vector<Message>& messages);
 
 }  // namespace peatbend::rations
--- a/src/router/figures.cpp
+++ b/src/router/figures.cpp
@@ -8,13 +8,13 @@
 namespace peatbend::net {
 
 void Router::PrintCounters() {
-  log_.Counts("counters", Describe(counters_));
-  if (peers_) log_.Counts("peers counters", peers_->Figures());
-  if (work_) log_.Counts("work counters", work_->Figures());
-  if (rations_) log_.Counts("rations counters", rations_->Figures());
-  if (publications_) log_.Counts("publications counters", publications_->Figures());
-  if (schemas_) log_.Counts("payloads counters", schemas_->Figures());
-  if (overload_) log_.Counts("overload counters", overload_->Figures());
+  log_.Metrics("counters", Describe(counters_));
+  if (peers_) log_.Metrics("peers counters", peers_->Figures());
+  if (work_) log_.Metrics("work counters", work_->Figures());
+  if (rations_) log_.Metrics("rations counters", rations_->Figures());
+  if (publications_) log_.Metrics("publications counters", publications_->Figures());
+  if (schemas_) log_.Metrics("payloads counters", schemas_->Figures());
+  if (overload_) log_.Metrics("overload counters", overload_->Figures());
 }
 
 std::string Router::Work() { return work_ ? work_->Describe() : "fail takeover is off"; }
--- a/src/router/publication_office.cpp
+++ b/src/router/publication_office.cpp
@@ -126,10 +126,10 @@
 
 void PublicationOffice::Arrived(const std::string& from, const std::string& bytes) {
   compat::Say say;
-  compat::Fault fault = compat::Decode(bytes, seats_.print(), say);
-  if (fault != compat::Fault::kNone) {
+  compat::DecodeError error = compat::Decode(bytes, seats_.print(), say);
+  if (error != compat::DecodeError::kNone) {
     ++dropped_;
-    return log_.Line("publications dropped", fmt::format("what {} says {}", from, Text(fault)));
+    return log_.Line("publications dropped", fmt::format("what {} says {}", from, Text(error)));
   }
   takeover::Time now = peers::Peers::Now();
   bool of_book = say.kind == compat::SayKind::kAskBook || say.kind == compat::SayKind::kBook;
--- a/src/router/ration_office.cpp
+++ b/src/router/ration_office.cpp
@@ -59,7 +59,7 @@
 rations::OfficeOptions OptionsOf(const Config& config) {
   rations::OfficeOptions options;
   options.sits = Sits(config);
-  const Tuning::Rations& times = config.tuning.rations;
+  const Tuning::Quota& times = config.tuning.rations;
   options.purse.routers = std::max(1, config.settings.proxies);
   options.purse.draw_every = times.draw;
   options.purse.again_every = times.again;
@@ -143,10 +143,10 @@
 
 void RationOffice::Arrived(const std::string& from, const std::string& bytes) {
   std::vector<rations::Message> messages;
-  rations::Fault fault = rations::Decode(bytes, print_, messages);
-  if (fault != rations::Fault::kNone) {
+  rations::DecodeError error = rations::Decode(bytes, print_, messages);
+  if (error != rations::DecodeError::kNone) {
     ++dropped_;
-    return log_.Line("rations dropped", fmt::format("what {} says {}", from, Text(fault)));
+    return log_.Line("rations dropped", fmt::format("what {} says {}", from, Text(error)));
   }
   rations::Time now = peers::Peers::Now();
   for (const rations::Message& message : messages) office_.Take(now, from, message);
--- a/src/router/work_in_hand.cpp
+++ b/src/router/work_in_hand.cpp
@@ -19,7 +19,7 @@
 
 takeover::DeskOptions OptionsOf(const Config& config) {
   takeover::DeskOptions options;
-  const Tuning::Takeover& times = config.tuning.takeover;
+  const Tuning::Failover& times = config.tuning.takeover;
   options.send_within = times.send_within;
   options.stands_within = times.stands_within;
   options.ends_within = times.ends_within;
@@ -105,10 +105,10 @@
 
 void WorkInHand::Arrived(const std::string& from, const std::string& bytes) {
   std::vector<takeover::Message> messages;
-  takeover::Fault fault = takeover::Decode(bytes, desk_.seats().print(), messages);
-  if (fault != takeover::Fault::kNone) {
+  takeover::DecodeError error = takeover::Decode(bytes, desk_.seats().print(), messages);
+  if (error != takeover::DecodeError::kNone) {
     ++dropped_;
-    return log_.Line("work dropped", fmt::format("what {} says {}", from, Text(fault)));
+    return log_.Line("work dropped", fmt::format("what {} says {}", from, Text(error)));
   }
   takeover::Time now = peers::Peers::Now();
   for (const takeover::Message& message : messages) desk_.Take(now, from, message);
--- a/src/stage/decision.cpp
+++ b/src/stage/decision.cpp
@@ -58,7 +58,7 @@
   TimePoint deadline = clock_.Now() + request->remaining;
   transactions_[id] =
       std::make_unique<Transaction>(id, std::move(request), client, place, deadline, counters_);
-  ++counters_.transactions;
+  ++counters_.requests;
   Post(Taken{id});
   return id;
 }
--- a/src/stage/transaction.cpp
+++ b/src/stage/transaction.cpp
@@ -55,7 +55,7 @@
 }
 
 void Transaction::ClientLeft() {
-  if (std::exchange(client_, nullptr) != nullptr) ++counters_.transactions_gone;
+  if (std::exchange(client_, nullptr) != nullptr) ++counters_.requests_abandoned;
 }
 
 }  // namespace peatbend::net
--- a/src/takeover/wire.cpp
+++ b/src/takeover/wire.cpp
@@ -2,12 +2,12 @@
 
 #include <nlohmann/json.hpp>
 
-#include "base/packed.h"
+#include "base/msgpack_fields.h"
 
 namespace peatbend::takeover {
 namespace {
 
-using net::Fields;
+using net::FieldReader;
 using net::kAny;
 using nlohmann::json;
 
@@ -27,22 +27,22 @@
 
 bool Read(const json* from, Author& author) {
   if (from == nullptr) return false;
-  Fields fields(*from);
+  FieldReader fields(*from);
   return fields.Text(author.name, kMostName).Number(author.life, kAny).Number(author.go, kAny).fine();
 }
 bool Read(const json* from, Ballot& ballot) {
   if (from == nullptr) return false;
-  Fields fields(*from);
+  FieldReader fields(*from);
   return fields.Number(ballot.round, kAny).fine() && Read(fields.Next(), ballot.author);
 }
 bool Read(const json* from, State& state) {
   if (from == nullptr) return false;
-  Fields fields(*from);
+  FieldReader fields(*from);
   const json* steps = fields.Next();
   if (steps == nullptr || !steps->is_array() || steps->size() > kMostSteps) return false;
   for (const json& one : *steps) {
     Step& step = state.steps.emplace_back();
-    Fields of_step(one);
+    FieldReader of_step(one);
     if (!Read(of_step.Next(), step.by)) return false;
     if (!of_step.Number(step.number, 0xffffffffu).Text(step.server, 256).Flag(step.may_have_run).fine())
       return false;
@@ -54,7 +54,7 @@
       .fine();
 }
 bool Read(const json& from, Message& m) {
-  Fields fields(from);
+  FieldReader fields(from);
   fields.Number(m.kind, static_cast<std::uint64_t>(Kind::kCopy)).Text(m.work, kMostWork);
   bool of_no_work = m.kind == Kind::kAskWord || m.kind == Kind::kWord;
   if (!fields.fine() || m.work.empty() != of_no_work || !Read(fields.Next(), m.ballot)) return false;
@@ -101,8 +101,8 @@
   return size;
 }
 
-Fault Decode(std::string_view bytes, std::uint64_t seats, std::vector<Message>& messages) {
-  return net::Open(bytes, kDeepest + 1, seats, kMostTogether, messages,
+DecodeError Decode(std::string_view bytes, std::uint64_t seats, std::vector<Message>& messages) {
+  return net::ReadEnvelope(bytes, kDeepest + 1, seats, kMostTogether, messages,
                    [](const json& one, Message& message) { return Read(one, message); });
 }
 
--- a/src/takeover/wire.h
+++ b/src/takeover/wire.h
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-#include "base/cargo.h"
+#include "base/decode_error.h"
 #include "takeover/record.h"
 
 namespace peatbend::takeover {
@@ -17,8 +17,8 @@
 // About as many bytes as Encode makes of it; never fewer.
 std::size_t SizeOf(const Message& message);
 
-using net::Fault;
+using net::DecodeError;
 // Reads what a stranger may have written. Never throws; `messages` is whole where there is no fault.
-Fault Decode(std::string_view bytes, std::uint64_t seats, std::vector<Message>& messages);
+DecodeError Decode(std::string_view bytes, std::uint64_t seats, std::vector<Message>& messages);
 
 }  // namespace peatbend::takeover
--- a/tests/compat/bureau_test.cpp
+++ b/tests/compat/bureau_test.cpp
@@ -50,7 +50,7 @@
     }
     for (auto& one : std::exchange(way, {})) {
       Say read;
-      REQUIRE(Decode(Encode(7, one.say), 7, read) == Fault::kNone);
+      REQUIRE(Decode(Encode(7, one.say), 7, read) == DecodeError::kNone);
       if (routers[one.to]) at(one.to).Take(now, Name(one.from), read);
     }
   }
@@ -223,9 +223,9 @@
 TEST_CASE("what strangers write is no message and no memory") {
   Say say;
   std::string whole = Encode(7, Say{});
-  CHECK(Decode(whole, 8, say) == Fault::kSeats);
+  CHECK(Decode(whole, 8, say) == DecodeError::kReplicaSet);
   for (std::size_t size = 0; size < whole.size(); ++size)
-    CHECK(Decode(whole.substr(0, size), 7, say) == Fault::kMalformed);
+    CHECK(Decode(whole.substr(0, size), 7, say) == DecodeError::kMalformed);
   Memory memory;
   memory.words["r1"] = 5;
   std::string bytes = memory.Bytes();
--- a/tests/fuzz/schema_fuzz.cpp
+++ b/tests/fuzz/schema_fuzz.cpp
@@ -60,8 +60,8 @@
   std::string_view bytes(reinterpret_cast<const char*>(data), size);
   if (auto catalogue = Catalogue::Read(bytes)) Holds(catalogue->Bytes() == bytes);
   if (auto memory = Memory::Read(bytes)) Holds(Memory::Read(memory->Bytes()) == memory);
-  if (Say say, again; Decode(bytes, 7, say) == Fault::kNone)
-    Holds(Decode(Encode(7, say), 7, again) == Fault::kNone && again.bytes == say.bytes &&
+  if (Say say, again; Decode(bytes, 7, say) == DecodeError::kNone)
+    Holds(Decode(Encode(7, say), 7, again) == DecodeError::kNone && again.bytes == say.bytes &&
           again.ballot == say.ballot);
   auto writer = Schema::Parse(bytes.substr(0, bytes.find('\n')));
   auto reader = Schema::Parse(bytes.substr(std::min(size, bytes.find('\n'))));
--- a/tests/net/attempts_test.cpp
+++ b/tests/net/attempts_test.cpp
@@ -96,7 +96,7 @@
   End& stays = stage.Client(GetWithin(kOtherKey, kWaits));
   stage.Until([&] { return stage.router.counters().dials == 2; });
   leaves.Hang();
-  stage.Until([&] { return stage.router.counters().transactions_gone == 1; });
+  stage.Until([&] { return stage.router.counters().requests_abandoned == 1; });
   stage.late.Open();
   stage.Until([&] { return stays.got == kGot; });
   CHECK(stage.late.Count(kOtherKey) == 1);
@@ -111,7 +111,7 @@
   End& client = stage.Client(GetWithin(kKey, kWaits));
   stage.Until([&] { return stage.member.Count("OBJ.GET") == 1; });
   client.Hang();
-  stage.Until([&] { return stage.router.counters().transactions_gone == 1; });
+  stage.Until([&] { return stage.router.counters().requests_abandoned == 1; });
   stage.member.ends.front().Say(Value("x"));
   stage.Until([&] { return Outcomes(stage, Result::kGood) + Outcomes(stage, Result::kCancelled) == 1; });
   CHECK(Outcomes(stage, Result::kNeverSent) == 0);
--- a/tests/net/broken_answers_test.cpp
+++ b/tests/net/broken_answers_test.cpp
@@ -171,7 +171,7 @@
   }
   Moves(stage, Member("origin", origin.port));
   CHECK(stage.Ask(Set(kKey, "c=unsafe,t=acme,d=900", "v")).starts_with("-BUSY"));
-  CHECK(Outcomes(stage, Result::kNoConn) == stage.router.counters().flows);
+  CHECK(Outcomes(stage, Result::kNoConn) == stage.router.counters().attempts);
 }
 
 // The system has accepted the connection, and the server is killed before anything was written to it.
@@ -198,7 +198,7 @@
   CHECK(stage.Ask(kBrokenKeyRead) == kFromOrigin);
   CHECK(Outcomes(stage, Result::kNoConn) == 1);
   CHECK(Outcomes(stage, Result::kGood) == 1);
-  CHECK(stage.router.counters().flows == 2);
+  CHECK(stage.router.counters().attempts == 2);
 }
 
 }  // namespace
--- a/tests/net/departures_test.cpp
+++ b/tests/net/departures_test.cpp
@@ -42,13 +42,13 @@
   std::string text;
   for (int i = 0; i < kMostOwed + 2; ++i) text += Get(std::to_string(1000 + i), "c=read,t=acme,d=2000");
   LeavingClient client(stage.router.port(), text);
-  stage.Until([&] { return stage.router.counters().transactions == kMostOwed; });
-  stage.Until([&] { return stage.member.Count("OBJ.GET") == stage.router.counters().flows; });
+  stage.Until([&] { return stage.router.counters().requests == kMostOwed; });
+  stage.Until([&] { return stage.member.Count("OBJ.GET") == stage.router.counters().attempts; });
   std::size_t sent = stage.member.Count("OBJ.GET");
   REQUIRE(sent > 0);
   REQUIRE(sent < kMostOwed);  // the others wait
   client.Leave(how);
-  stage.Until([&] { return stage.router.counters().transactions_gone == kMostOwed; });
+  stage.Until([&] { return stage.router.counters().requests_abandoned == kMostOwed; });
   for (End& end : stage.member.ends) end.on_read = Stage::Says(Value("x"));
   for (End& end : stage.member.ends) end.Say(Value("x"));
   End& other = stage.Client(Get(kKey, "c=read,t=acme,d=2000"));
@@ -56,7 +56,7 @@
   stage.member.ends.back().Say(Value("x"));
   stage.Until([&] { return other.got == "$1\r\nx\r\n"; });
   CHECK(stage.member.Count("OBJ.GET") == sent + 1);
-  CHECK(stage.router.counters().transactions == kMostOwed + 1);  // nor are those taken that it sent last
+  CHECK(stage.router.counters().requests == kMostOwed + 1);  // nor are those taken that it sent last
 }
 
 TEST_CASE("departure: a client that closes while much is owed to it is noticed") {
@@ -77,7 +77,7 @@
   End& other = stage.Client(Get("1000", "c=read,t=acme,d=2000"));
   stage.Until([&] { return other.got == "$1\r\nx\r\n"; });
   CHECK(stage.member.Count("OBJ.GET") == 1);
-  CHECK(stage.router.counters().transactions == 1);
+  CHECK(stage.router.counters().requests == 1);
 }
 
 TEST_CASE("departure: a command that comes together with its client's close is not sent on") {
@@ -103,7 +103,7 @@
                        Get("2000", "c=read,t=acme,d=2000") + begins("00000000000000bb") + "v");
   stage.Until([&] { return stage.member.Count("OBJ.GET") == 2; });
   client.Leave(Leaves::kCloses);
-  stage.Until([&] { return stage.router.counters().transactions_gone == 1; });
+  stage.Until([&] { return stage.router.counters().requests_abandoned == 1; });
 }
 
 }  // namespace
--- a/tests/net/flows_stage.h
+++ b/tests/net/flows_stage.h
@@ -55,7 +55,7 @@
 
  private:
   Settings settings_;
-  Tuning::Members tuning_;
+  Tuning::Backends tuning_;
   SocketBudget sockets_;
   Clock clock_;
   Log log_{"test", {}, clock_};
--- a/tests/net/handover_test.cpp
+++ b/tests/net/handover_test.cpp
@@ -149,7 +149,7 @@
   }
   stage.Until([&] { return client.Receive().got == "$1\r\nv\r\n"; });
   CHECK(next.router.counters().Sum(&Clients::served) == 1);
-  CHECK(stage.router.counters().transactions == 0);
+  CHECK(stage.router.counters().requests == 0);
   CHECK(stage.member.Count("OBJ.GET") == 1);
 }
 
--- a/tests/net/held_attempt_test.cpp
+++ b/tests/net/held_attempt_test.cpp
@@ -54,7 +54,7 @@
   Counters counters;
   Clock clock;
   Log log{"test", {}, clock};
-  Tuning::Members tuning;
+  Tuning::Backends tuning;
   SocketBudget sockets;
   MemberConnections connections{stage.base.get(), settings, tuning, sockets, clock, log, counters};
   Decision decision{stage.base.get(), settings, 7, connections, [] {}, clock, log, counters};
@@ -74,7 +74,7 @@
   CHECK(held.counters.outcomes[static_cast<std::size_t>(Result::kNeverSent)] == 1);
   held.decision.MaySend(id);  // too late to matter
   held.stage.Rest();
-  CHECK(held.counters.flows == 0);
+  CHECK(held.counters.attempts == 0);
   CHECK(held.stage.origin.ends.empty());
 }
 
--- a/tests/net/large_value_test.cpp
+++ b/tests/net/large_value_test.cpp
@@ -124,7 +124,7 @@
   SUBCASE("what follows cannot be read") { member.Say(value.substr(80000) + "\r\n$x\r\n"); }
   stage.Until([&] { return client.closed; });
   CHECK(client.got.size() <= opens.size() + 100000);  // its end never came
-  CHECK(stage.router.counters().flows == 1);
+  CHECK(stage.router.counters().attempts == 1);
   CHECK(stage.router.counters().values_cut == 1);
   CHECK(stage.router.counters().Sum(&Counters::OfClass::failed) == 1);
 }
@@ -140,7 +140,7 @@
     return std::chrono::steady_clock::now() - from > std::chrono::milliseconds(500);
   });
   CHECK(stage.Ask("*1\r\n$4\r\nPING\r\n") == "+PONG\r\n");
-  REQUIRE(stage.router.counters().flows > 0);
+  REQUIRE(stage.router.counters().attempts > 0);
   for (End& client : stage.clients) client.Hang();
   stage.Until([&] { return stage.router.memory().held == 0; });
   CHECK(stage.router.counters().Sum(&Counters::OfClass::served) == 0);
@@ -159,12 +159,12 @@
     for (int i = 0; i < 128; ++i) text += Get(std::to_string(100000 + client * 1000 + i), "c=read,d=1900");
     Deaf(stage, text);
     const Counters& counts = stage.router.counters();
-    std::uint64_t before = counts.transactions;
+    std::uint64_t before = counts.requests;
     stage.Until([&] {  // all that it was let to ask is answered
       using Class = Counters::OfClass;
       std::uint64_t answered =
           counts.Sum(&Class::served) + counts.Sum(&Class::rejected) + counts.Sum(&Class::failed);
-      return counts.transactions >= before + 4 && counts.transactions == answered;
+      return counts.requests >= before + 4 && counts.requests == answered;
     });
   }
   // Some of it is with the sockets.
@@ -180,7 +180,7 @@
                                                                   : Value("v"));
   });
   End& client = Deaf(stage, Get("00000000000000aa", "c=read,d=1900") + kRead);
-  stage.Until([&] { return stage.router.counters().flows == 2; });
+  stage.Until([&] { return stage.router.counters().attempts == 2; });
   stage.Rest();
   client.Listens(true);
   stage.Until([&] { return client.got.size() == 7 + Bulk(value).size(); });
--- a/tests/net/operations_test.cpp
+++ b/tests/net/operations_test.cpp
@@ -167,7 +167,7 @@
   for (std::size_t at = 0; (at = busy.got.find("\r\n", at)) != std::string::npos; at += 2)
     answers +=
         at + 2 >= busy.got.size() || std::string_view("$-").find(busy.got[at + 2]) != std::string_view::npos;
-  CHECK(answers == stage.router.counters().transactions);
+  CHECK(answers == stage.router.counters().requests);
 }
 
 }  // namespace
--- a/tests/net/rough_clients_test.cpp
+++ b/tests/net/rough_clients_test.cpp
@@ -63,7 +63,7 @@
   }
   CHECK(stage.Ask(kRead) == "$1\r\nx\r\n");
   stage.Until([&] { return stage.router.counters().clients_closed >= 20; });
-  CHECK(stage.router.counters().transactions == 1);
+  CHECK(stage.router.counters().requests == 1);
 }
 
 // Guards against whole commands that are read and dropped behind one that took too long.
--- a/tests/net/rules_test.cpp
+++ b/tests/net/rules_test.cpp
@@ -58,7 +58,7 @@
   client.Say("*1\r\n" + Bulk("PING"));
   stage.Until([&] { return client.got.ends_with("+PONG\r\n"); });
   CHECK(client.got == "-BUSY 500\r\n+PONG\r\n");
-  CHECK(Outcomes(stage, Result::kLate) == stage.router.counters().flows);
+  CHECK(Outcomes(stage, Result::kLate) == stage.router.counters().attempts);
   stage.Until([&] { return stage.member.ends.front().closed; });  // a flow given up closes its connection
 }
 
@@ -81,7 +81,7 @@
   Stage stage;
   stage.origin.Refuse();
   CHECK(stage.Ask(Set(kKey, "c=unsafe,d=900", "v")).starts_with("-BUSY"));
-  CHECK(Outcomes(stage, Result::kNoConn) == stage.router.counters().flows);
+  CHECK(Outcomes(stage, Result::kNoConn) == stage.router.counters().attempts);
 }
 
 // Rule 3.
@@ -219,7 +219,7 @@
   End& client = stage.Client(Get("1000", "c=read,d=900"));
   stage.Until([&] { return stage.member.Count("1000") == 1; });
   client.Hang();
-  stage.Until([&] { return stage.router.counters().transactions_gone == 1; });
+  stage.Until([&] { return stage.router.counters().requests_abandoned == 1; });
   CHECK(stage.Ask(Get("2000", "c=read,d=900")) == "$1\r\nx\r\n");
   using Of = Counters::OfClass;
   CHECK(stage.router.counters().Sum(&Of::rejected) + stage.router.counters().Sum(&Of::failed) == 0);
--- a/tests/net/shutdown_test.cpp
+++ b/tests/net/shutdown_test.cpp
@@ -109,7 +109,7 @@
   CHECK(client.got == "$3\r\none\r\n");
   stage.Until([&] { return stage.router.counters().clients_closed == 1; });
   CHECK(client.WasReset());  // unread: the client may send it again
-  CHECK(stage.router.counters().transactions == 1);
+  CHECK(stage.router.counters().requests == 1);
 }
 
 // Guards against the same of commands that were read and wait behind the bound of answers owed.
@@ -149,7 +149,7 @@
   stage.Until([&] { return client.Receive().closed; });
   CHECK(client.got.size() == Bulk(value).size());
   CHECK(client.got.starts_with(Bulk(value)));
-  CHECK(stage.router.counters().transactions == 1);
+  CHECK(stage.router.counters().requests == 1);
 }
 
 TEST_CASE("stop: a half command that becomes whole in time is served, one that doesn't disturbs nobody") {
--- a/tests/net/upgrade_test.cpp
+++ b/tests/net/upgrade_test.cpp
@@ -101,7 +101,7 @@
   Folder folder;
   Stage stage({}, {}, "", 128, 192, folder.Door());
   for (int i = 0; i < 30; ++i) stage.Client(Get("00000000000000" + std::to_string(10 + i), "c=read,d=1900"));
-  stage.Until([&] { return stage.router.counters().transactions == 30; });
+  stage.Until([&] { return stage.router.counters().requests == 30; });
   std::string said;
   auto inherited = AskFrom(stage, folder.Door(), said);
   REQUIRE_MESSAGE(inherited.has_value(), said);
--- a/tests/rations/office_test.cpp
+++ b/tests/rations/office_test.cpp
@@ -240,7 +240,7 @@
       peers::Message m;
       std::vector<Message> read;
       REQUIRE(peers::Decode(said, peers::kMostStream, "127.0.0.1:7000", m) == peers::Fault::kNone);
-      REQUIRE(Decode(m.cargo, 1, read) == Fault::kNone);
+      REQUIRE(Decode(m.cargo, 1, read) == DecodeError::kNone);
       for (const Message& message : read) offices[to]->Take(now, m.from, message);
       turn(to, now);
     }
--- a/tests/rations/wire_test.cpp
+++ b/tests/rations/wire_test.cpp
@@ -55,9 +55,9 @@
     std::vector<Message> all = AnyMessages(random);
     std::string bytes = Encode(kSeatsPrint, all);
     REQUIRE(static_cast<unsigned char>(bytes[0]) == kLead);
-    REQUIRE(Decode(bytes, kSeatsPrint, read) == Fault::kNone);
+    REQUIRE(Decode(bytes, kSeatsPrint, read) == DecodeError::kNone);
     REQUIRE(read == all);
-    REQUIRE(Decode(bytes, kSeatsPrint + 1, read) == Fault::kSeats);
+    REQUIRE(Decode(bytes, kSeatsPrint + 1, read) == DecodeError::kReplicaSet);
     REQUIRE(read.empty());
     // The same in parcels, none beyond its size but for a message that alone is.
     Parcel parcel(kSeatsPrint);
@@ -66,7 +66,7 @@
       std::size_t many = parcel.size();
       std::string part = parcel.Take();
       REQUIRE((many == 1 || part.size() <= 500));
-      REQUIRE(Decode(part, kSeatsPrint, read) == Fault::kNone);
+      REQUIRE(Decode(part, kSeatsPrint, read) == DecodeError::kNone);
       REQUIRE(read.size() == many);
       together.insert(together.end(), read.begin(), read.end());
     };
@@ -87,18 +87,18 @@
   for (int round = 0; round < 300; ++round) {
     std::string bytes = Encode(kSeatsPrint, {AnyMessage(random)});
     for (std::size_t size = 0; size < bytes.size(); size += 1 + size / 64) {
-      REQUIRE(Decode(bytes.substr(0, size), kSeatsPrint, read) == Fault::kMalformed);
+      REQUIRE(Decode(bytes.substr(0, size), kSeatsPrint, read) == DecodeError::kMalformed);
       REQUIRE(read.empty());
     }
-    REQUIRE(Decode(bytes + "x", kSeatsPrint, read) == Fault::kMalformed);
+    REQUIRE(Decode(bytes + "x", kSeatsPrint, read) == DecodeError::kMalformed);
     for (int n = 0; n < 50; ++n) {
       std::string altered = bytes;
       for (std::uint32_t times = 1 + random.Below(3); times > 0; --times)
         altered[random.Below(static_cast<std::uint32_t>(altered.size()))] =
             static_cast<char>(random.Below(256));
-      Fault fault = Decode(altered, kSeatsPrint, read);
-      ++(fault == Fault::kNone ? taken : refused);
-      if (fault != Fault::kNone) {
+      DecodeError error = Decode(altered, kSeatsPrint, read);
+      ++(error == DecodeError::kNone ? taken : refused);
+      if (error != DecodeError::kNone) {
         REQUIRE(read.empty());
         continue;
       }
@@ -124,29 +124,29 @@
     json::to_msgpack(value, bytes);
     return bytes;
   };
-  CHECK(Decode(with(json::array({kForm, kSeatsPrint, json::array()})), kSeatsPrint, read) == Fault::kNone);
+  CHECK(Decode(with(json::array({kForm, kSeatsPrint, json::array()})), kSeatsPrint, read) == DecodeError::kNone);
   CHECK(Decode(with(json::array({kForm, kSeatsPrint, json::array()})).substr(1), kSeatsPrint, read) ==
-        Fault::kMalformed);
+        DecodeError::kMalformed);
   for (const json& bad :
        {json(), json(1), json::array(), json::array({kForm, kSeatsPrint}),
         json::array({kForm, "seats", json::array()}), json::array({kForm + 1, kSeatsPrint, json::array()}),
         json::array({kForm, kSeatsPrint, json::array({json::array({8, 0})})}), json{{"seats", 1}}})
-    CHECK(Decode(with(bad), kSeatsPrint, read) == Fault::kMalformed);
+    CHECK(Decode(with(bad), kSeatsPrint, read) == DecodeError::kMalformed);
   std::string deep(1, static_cast<char>(kLead));
-  CHECK(Decode(deep + std::string(100'000, '\x91'), kSeatsPrint, read) == Fault::kMalformed);
+  CHECK(Decode(deep + std::string(100'000, '\x91'), kSeatsPrint, read) == DecodeError::kMalformed);
   // Said to hold thousands of entries: no room is made for more than there are bytes for.
   std::string many = with(json::array({kForm, kSeatsPrint, json::array()}));
   many.back() = '\x91';
   many += std::string("\x99\x05\0\x94\0\xa0\0\0\x94\0\xa0\0\0\0\0\0\0\xdc\x40\0", 20);
-  CHECK(Decode(many, kSeatsPrint, read) == Fault::kMalformed);
+  CHECK(Decode(many, kSeatsPrint, read) == DecodeError::kMalformed);
   Message m;
   m.go.router = std::string(65, 'n');
-  CHECK(Decode(Encode(kSeatsPrint, {m}), kSeatsPrint, read) == Fault::kMalformed);
+  CHECK(Decode(Encode(kSeatsPrint, {m}), kSeatsPrint, read) == DecodeError::kMalformed);
   m.go.router = "n";
   m.shard = kShards;
-  CHECK(Decode(Encode(kSeatsPrint, {m}), kSeatsPrint, read) == Fault::kMalformed);
+  CHECK(Decode(Encode(kSeatsPrint, {m}), kSeatsPrint, read) == DecodeError::kMalformed);
   CHECK(Decode(Encode(kSeatsPrint, std::vector<Message>(kMostTogether + 1)), kSeatsPrint, read) ==
-        Fault::kMalformed);
+        DecodeError::kMalformed);
 }
 
 }  // namespace
--- a/tests/takeover/desk_test.cpp
+++ b/tests/takeover/desk_test.cpp
@@ -101,17 +101,17 @@
   std::string bytes = Encode(9, {message, message});
   CHECK(bytes.size() <= 2 * SizeOf(message) + 20);
   std::vector<Message> read;
-  REQUIRE(Decode(bytes, 9, read) == Fault::kNone);
+  REQUIRE(Decode(bytes, 9, read) == DecodeError::kNone);
   CHECK(read == std::vector<Message>{message, message});
-  CHECK(Decode(bytes, 8, read) == Fault::kSeats);
+  CHECK(Decode(bytes, 8, read) == DecodeError::kReplicaSet);
   for (std::size_t size = 0; size < bytes.size(); ++size)
-    CHECK(Decode(std::string_view(bytes).substr(0, size), 9, read) != Fault::kNone);
+    CHECK(Decode(std::string_view(bytes).substr(0, size), 9, read) != DecodeError::kNone);
   for (int i = 0; i < 20000; ++i) {
     std::string spoilt = bytes;
     for (int n = 0; n < 1 + i % 4; ++n)
       spoilt[static_cast<std::size_t>(random.Unit() * static_cast<double>(bytes.size()))] =
           static_cast<char>(random.Unit() * 256);
-    if (Decode(spoilt, 9, read) == Fault::kNone) CHECK(read.size() <= kMostTogether);
+    if (Decode(spoilt, 9, read) == DecodeError::kNone) CHECK(read.size() <= kMostTogether);
   }
 }
 
--- a/tests/takeover/desk_world.h
+++ b/tests/takeover/desk_world.h
@@ -235,7 +235,7 @@
         if (!routers_[to].desk) return;
         On(to, routers_[to].life, [this, from, to, text] {
           std::vector<Message> messages;
-          if (Decode(text, seats_.print(), messages) != Fault::kNone) std::abort();
+          if (Decode(text, seats_.print(), messages) != DecodeError::kNone) std::abort();
           for (const Message& message : messages) routers_[to].desk->Take(now(), Name(from), message);
           Flush(to);
         });
