--- a/src/base/counters.h
+++ b/src/base/counters.h
@@ -24,7 +24,8 @@
   std::vector<OfClass> classes;  // as the settings number them
   std::uint64_t Sum(std::uint64_t OfClass::* count) const;
   // Sent.
-  std::uint64_t attempts = 0, attempts_to_origin = 0, dispatches = 0, dials = 0, reused = 0, not_sent_no_socket = 0;
+  std::uint64_t attempts = 0, attempts_to_origin = 0, dispatches = 0, dials = 0, reused = 0;
+  std::uint64_t not_sent_no_socket = 0;
   std::array<std::uint64_t, 9> outcomes{};  // by Result
   std::uint64_t member_malformed = 0, closed_as_stray = 0;
   // Discovery and the configuration.
--- a/src/base/decode_error.h
+++ b/src/base/decode_error.h
@@ -1,5 +1,5 @@
-// Of bytes that another router says: what may be wrong with them, where both must reckon with the same seats,
-// and the bound of numbers that have none.
+// Why bytes that another router sent were dropped, where both must have the same replica set; and the bound
+// of numbers that have none.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 enum class DecodeError : std::uint8_t { kNone, kMalformed, kReplicaSet };
 
-// For the log: what that router's words are.
+// For the log, after the router that sent the bytes.
 inline const char* Text(DecodeError error) {
   return error == DecodeError::kReplicaSet ? "has another replica set" : "is malformed";
 }
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -52,7 +52,7 @@
     line = object.dump(-1, ' ', true, nlohmann::json::error_handler_t::replace);
   } else {
     line = fmt::format("peatbend {}: {}: {}", name_, kind, text);
-    if (suppressed > 0) line += fmt::format(" ({} lines of this kind held back)", suppressed);
+    if (suppressed > 0) line += fmt::format(" ({} lines of this kind suppressed)", suppressed);
     // What a stranger sent must not forge a line.
     std::ranges::replace_if(
         line, [](char c) { return static_cast<unsigned char>(c) < ' '; }, ' ');
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,6 +1,6 @@
 // Log lines on standard error, as text (`peatbend NAME: KIND: text`) or one JSON object a line with the same
-// kinds. Each kind may write so many lines in a window; what is beyond is counted, and the count told with
-// the next line of that kind. Written through spdlog, at once and in order.
+// kinds. Each kind may write so many lines in a window; what is beyond is suppressed and counted, and the
+// count is written with the next line of that kind. Written through spdlog, at once and in order.
 #pragma once
 
 #include <spdlog/logger.h>
--- a/src/base/memory_budget.h
+++ b/src/base/memory_budget.h
@@ -1,4 +1,4 @@
-// The memory that large values may take, over all transactions, and what is booked on it.
+// The memory that large values may take, over all requests, and what is reserved of it.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,7 @@
   std::size_t free() const { return most - std::min(most, held); }
 };
 
-// Bytes of the budget, given back when it goes. The budget must outlive it.
+// Bytes of the budget, given back at its end. The budget must outlive it.
 class MemoryReservation {
  public:
   MemoryReservation() = default;
@@ -26,12 +26,12 @@
   }
   ~MemoryReservation() { Set(0); }
   std::size_t size() const { return size_; }
-  // Books `size` in all, whether there is room or not.
+  // Reserves `size` in all, whether there is room or not.
   void Set(std::size_t size) {
     if (budget_ != nullptr) budget_->held = budget_->held - size_ + size;
     size_ = size;
   }
-  // Books `size` in all, where there is room or nothing else is booked.
+  // Reserves `size` in all, where there is room or nothing else is reserved.
   bool Try(std::size_t size) {
     if (size > size_ && budget_->held > 0 && size - size_ > budget_->free()) return false;
     Set(size);
--- a/src/base/msgpack.h
+++ b/src/base/msgpack.h
@@ -1,6 +1,6 @@
-// Writing and reading MessagePack straight as bytes, with no values in between: what routers say to each
+// Writing and reading MessagePack straight as bytes, with no values in between: what routers send each
 // other many times a second. A reader takes what a stranger may have written: nothing beyond the bytes,
-// nothing larger than is said, and it fails once and for all at the first that does not fit. Allocates only
+// nothing larger than is stated, and it fails once and for all at the first that does not fit. Allocates only
 // for texts.
 #pragma once
 
--- a/src/base/msgpack_fields.h
+++ b/src/base/msgpack_fields.h
@@ -94,17 +94,18 @@
   bool fine_;
 };
 
-// What stands in [seats, [one, ...]], each taken by `read`. `all` is whole where there is no fault, else empty.
+// Reads [seats, [one, ...]], each one by `read`. `all` is whole where there is no error, else empty.
 template <typename One, typename Read>
-DecodeError ReadEnvelope(std::string_view bytes, int deepest, std::uint64_t seats, std::size_t most, std::vector<One>& all,
-           Read read) {
+DecodeError ReadEnvelope(std::string_view bytes, int deepest, std::uint64_t seats, std::size_t most,
+                         std::vector<One>& all, Read read) {
   all.clear();
   nlohmann::json array = Unpack(bytes, deepest);
   if (array.is_discarded()) return DecodeError::kMalformed;
   FieldReader fields(array);
   std::uint64_t its_seats = 0;
   const nlohmann::json* ones = fields.Number(its_seats, kAny).Next();
-  if (!fields.fine() || ones == nullptr || !ones->is_array() || ones->size() > most) return DecodeError::kMalformed;
+  if (!fields.fine() || ones == nullptr || !ones->is_array() || ones->size() > most)
+    return DecodeError::kMalformed;
   if (its_seats != seats) return DecodeError::kReplicaSet;
   for (const nlohmann::json& one : *ones) {
     if (read(one, all.emplace_back())) continue;
