--- a/src/front/client_session.h
+++ b/src/front/client_session.h
@@ -151,7 +151,7 @@
   TimePoint turned_away_ = TimePoint::max();  // its -ERR was written
   bool last_call_ = false;                    // the socket is not read any more
   std::optional<std::uint64_t> client_;       // its address, hashed, once somebody has asked for it
-  MemoryReservation memory_;                            // for answers that have not been taken
+  MemoryReservation memory_;                  // for answers that have not been taken
   BuffereventPtr socket_;
   ReadPause read_pause_{socket_.get(), [this] { Leave(); }};
 };
--- a/src/member/member_connections.cpp
+++ b/src/member/member_connections.cpp
@@ -171,8 +171,8 @@
 }
 
 MemberConnections::MemberConnections(event_base* base, const Settings& settings,
-                                     const Tuning::Backends& tuning, SocketBudget& sockets, const Clock& clock,
-                                     Log& log, Counters& counters)
+                                     const Tuning::Backends& tuning, SocketBudget& sockets,
+                                     const Clock& clock, Log& log, Counters& counters)
     : base_(base),
       settings_(settings),
       tuning_(tuning),
--- a/src/overload/sign.cpp
+++ b/src/overload/sign.cpp
@@ -70,7 +70,8 @@
   if (next != bins.size()) return false;
   for (const json& one : *tenants) {
     TenantWork& tenant = sign.tenants.emplace_back();
-    if (!net::FieldReader(one).Number(tenant.tenant, 0xffff).Number(tenant.work, 0xffffffffu).fine()) return false;
+    if (!net::FieldReader(one).Number(tenant.tenant, 0xffff).Number(tenant.work, 0xffffffffu).fine())
+      return false;
   }
   for (const json& one : *trials) {
     TrialNews& news = sign.trials.emplace_back();
--- a/src/protocol/request.h
+++ b/src/protocol/request.h
@@ -19,7 +19,7 @@
 
   std::string text;  // copied from the client's buffer, which it outlives: it may be sent more than once
   std::string_view command, key, id, facts, value;
-  BufferPtr body;  // a large value, in place of `value`; each attempt refers to it
+  BufferPtr body;            // a large value, in place of `value`; each attempt refers to it
   MemoryReservation memory;  // for it
   bool write = false, retry = false;
   int cls = 0, tenant = -1;  // tenant: -1 if not one of the settings'
--- a/src/takeover/wire.cpp
+++ b/src/takeover/wire.cpp
@@ -103,7 +103,7 @@
 
 DecodeError Decode(std::string_view bytes, std::uint64_t seats, std::vector<Message>& messages) {
   return net::ReadEnvelope(bytes, kDeepest + 1, seats, kMostTogether, messages,
-                   [](const json& one, Message& message) { return Read(one, message); });
+                           [](const json& one, Message& message) { return Read(one, message); });
 }
 
 }  // namespace peatbend::takeover
--- a/tests/fuzz/rations_fuzz.cpp
+++ b/tests/fuzz/rations_fuzz.cpp
@@ -70,9 +70,11 @@
   static const auto table = TheTable();
   std::string_view bytes(reinterpret_cast<const char*>(data), size);
   std::vector<Message> messages, again;
-  if (Decode(bytes, seats.print(), messages) != DecodeError::kNone) return messages.empty() ? 0 : (std::abort(), 0);
+  if (Decode(bytes, seats.print(), messages) != DecodeError::kNone)
+    return messages.empty() ? 0 : (std::abort(), 0);
   // What was read is read alike once it is written anew.
-  if (Decode(Encode(seats.print(), messages), seats.print(), again) != DecodeError::kNone || again != messages)
+  if (Decode(Encode(seats.print(), messages), seats.print(), again) != DecodeError::kNone ||
+      again != messages)
     std::abort();
   Time now = 10s;
   Office office({}, seats, "me", kOwnNonce, 1, table, now, [](const std::string&) { return true; });
@@ -96,7 +98,8 @@
   Bucket root = table->ChainOf({}).root();
   if (office.purse().owed(root) > AheadOf(table->rations[0].pace)) std::abort();
   for (const Out& out : said) {
-    if (Decode(Encode(seats.print(), {out.message}), seats.print(), again) != DecodeError::kNone) std::abort();
+    if (Decode(Encode(seats.print(), {out.message}), seats.print(), again) != DecodeError::kNone)
+      std::abort();
   }
   return 0;
 }
--- a/tests/rations/wire_test.cpp
+++ b/tests/rations/wire_test.cpp
@@ -124,7 +124,8 @@
     json::to_msgpack(value, bytes);
     return bytes;
   };
-  CHECK(Decode(with(json::array({kForm, kSeatsPrint, json::array()})), kSeatsPrint, read) == DecodeError::kNone);
+  CHECK(Decode(with(json::array({kForm, kSeatsPrint, json::array()})), kSeatsPrint, read) ==
+        DecodeError::kNone);
   CHECK(Decode(with(json::array({kForm, kSeatsPrint, json::array()})).substr(1), kSeatsPrint, read) ==
         DecodeError::kMalformed);
   for (const json& bad :
