--- a/src/base/tuning.h
+++ b/src/base/tuning.h
@@ -64,10 +64,10 @@
     Milliseconds suspicion_least{700}, suspicion_most{1400}, stall{400};
     bool operator==(const Peers&) const = default;
   } peers;
-  struct Failover {  // see docs/takeover.md
-    Milliseconds send_within{200}, stands_within{250}, ends_within{500}, linger{5000};
+  struct Failover {  // see docs/failover.md
+    Milliseconds send_permit{200}, commit_timeout{250}, outcome_timeout{500}, retain{5000};
     bool operator==(const Failover&) const = default;
-  } takeover;
+  } failover;
   struct Quota {  // see docs/rations.md
     Milliseconds draw{20}, again{40}, alone_after{300}, idle{1000};
     std::int64_t buckets = 100000;
--- a/src/compat/bureau.cpp
+++ b/src/compat/bureau.cpp
@@ -4,15 +4,15 @@
 
 #include <algorithm>
 
-#include "takeover/wire.h"
+#include "failover/wire.h"
 
 namespace peatbend::compat {
 
-using takeover::Ballot;
-using takeover::Claim;
-using takeover::Kind;
-using takeover::kSeats;
-using takeover::Message;
+using failover::Ballot;
+using failover::RecordProposer;
+using failover::Kind;
+using failover::kReplicas;
+using failover::Message;
 
 namespace {
 
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-Bureau::Bureau(BureauOptions options, const takeover::Seats& seats, std::string self, std::uint64_t life,
+Bureau::Bureau(BureauOptions options, const failover::ReplicaSet& seats, std::string self, std::uint64_t life,
                std::uint64_t nonce, Time now, std::function<std::vector<std::string>()> others)
     : options_(options),
       print_(seats.print()),
@@ -32,14 +32,14 @@
       nonce_(nonce),
       random_(nonce),
       others_(std::move(others)),
-      holder_({}, now),
+      replica_({}, now),
       founding_(nonce),
       now_(now),
       words_at_(now),
       news_at_(now),
       known_(options.bounds) {
-  auto of = seats.Of(kWork);
-  for (std::size_t i = 0; i < kSeats; ++i) seats_[i] = seats.all()[of[i]].router;
+  auto of = seats.ReplicasFor(kWork);
+  for (std::size_t i = 0; i < kReplicas; ++i) seats_[i] = seats.all()[of[i]].router;
 }
 
 std::size_t Bureau::SeatOf(const std::string& router) const {
@@ -63,11 +63,11 @@
   if (life_ == 0) return;
   if (!change_) {
     if (queue_.empty()) return;
-    change_.emplace(kWork, takeover::Author{self_, nonce_, ++go_}, queue_.front().command, options_.bounds);
+    change_.emplace(kWork, failover::Proposer{self_, nonce_, ++go_}, queue_.front().command, options_.bounds);
     goes_ = 0;
   }
   change_->Above(std::max(met_, known_at_));
-  std::vector<Claim::Out> out;
+  std::vector<RecordProposer::Outgoing> out;
   change_->Begin(now, out);
   paused_ = false;
   begun_ = now;
@@ -77,20 +77,20 @@
   Post(std::move(out));
 }
 
-void Bureau::Post(std::vector<Claim::Out> out) {
-  for (Claim::Out& one : out) {
+void Bureau::Post(std::vector<RecordProposer::Outgoing> out) {
+  for (RecordProposer::Outgoing& one : out) {
     if (one.message.kind == Kind::kAccept) written_ = one.message.ballot;
-    SendMessage(seats_[one.seat], one.message);
+    SendMessage(seats_[one.replica], one.message);
   }
 }
 
 void Bureau::Answered(Time now, std::size_t seat, const Message& answer) {
-  if (!change_ || paused_ || seat == kSeats) return;
-  std::vector<Claim::Out> out;
+  if (!change_ || paused_ || seat == kReplicas) return;
+  std::vector<RecordProposer::Outgoing> out;
   Change::Verdict verdict = change_->Take(now, seat, answer, out);
   Post(std::move(out));
   if (verdict == Change::Verdict::kLost) {
-    met_ = std::max(met_, change_->claim().met());
+    met_ = std::max(met_, change_->record().met());
     ++figures_.outrun;
     paused_ = true;
     Span most = std::min(options_.pause_most, options_.pause_least * (1 << std::min(goes_, kMostDoublings)));
@@ -98,7 +98,7 @@
   } else if (verdict == Change::Verdict::kTell) {
     std::uint64_t before = news_;
     if (change_->catalogue())
-      Learn(written_, *change_->catalogue(), change_->claim().state().value);
+      Learn(written_, *change_->catalogue(), change_->record().state().value);
     else
       met_ = std::max(met_, written_);
     if (news_ != before) {
@@ -171,7 +171,7 @@
 
 void Bureau::SendMessage(const std::string& to, const Message& message) {
   Say say;
-  say.bytes = takeover::Encode(print_, {message});
+  say.bytes = failover::Encode(print_, {message});
   out_.push_back({to, std::move(say)});
 }
 
@@ -180,10 +180,10 @@
   switch (say.kind) {
     case SayKind::kRegister: {
       std::vector<Message> messages;
-      if (takeover::Decode(say.bytes, print_, messages) != takeover::DecodeError::kNone) return;
+      if (failover::Decode(say.bytes, print_, messages) != failover::DecodeError::kNone) return;
       for (const Message& message : messages) {
         bool answer = message.kind == Kind::kPromise || message.kind == Kind::kAccepted ||
-                      message.kind == Kind::kRefused;
+                      message.kind == Kind::kNack;
         answer ? Answered(now, SeatOf(from), message) : Asked(now, from, message);
       }
       break;
@@ -202,8 +202,8 @@
       break;
   }
   // A seat that keeps what it has not heard to stand reads it, unless it hears of it meanwhile.
-  auto slot = holder_.slots().find(kWork);
-  bool lags = seated() && slot != holder_.slots().end() && slot->second.version > 0 &&
+  auto slot = replica_.stored().find(kWork);
+  bool lags = seated() && slot != replica_.stored().end() && slot->second.version > 0 &&
               slot->second.kept > std::max(known_at_, met_);
   if (!lags)
     lag_since_ = {};
@@ -217,7 +217,7 @@
     if (paused_ || now - begun_ >= options_.anew) {
       Begin(now);
     } else {
-      std::vector<Claim::Out> out;
+      std::vector<RecordProposer::Outgoing> out;
       change_->Again(now, out);
       again_at_ = now + options_.again * std::min(goes_, 8);
       Post(std::move(out));
@@ -225,7 +225,7 @@
   } else if (!change_) {
     Begin(now);
   }
-  if (seated() && !holder_.Votes(now, kWork) && now >= words_at_) AskToSit(now);
+  if (seated() && !replica_.Votes(now, kWork) && now >= words_at_) AskToSit(now);
   if (lag_since_ != Time{} && now - lag_since_ >= options_.lag) {
     lag_since_ = now;
     if (queue_.empty()) Bring(now, "", ReadOnly, [](const Answer&) {});
@@ -240,7 +240,7 @@
 Time Bureau::Due() const {
   Time due = news_at_;
   if (change_) due = std::min(due, again_at_);
-  if (seated() && !holder_.Votes(now_, kWork)) due = std::min(due, words_at_);
+  if (seated() && !replica_.Votes(now_, kWork)) due = std::min(due, words_at_);
   if (lag_since_ != Time{}) due = std::min(due, lag_since_ + options_.lag);
   return due;
 }
--- a/src/compat/bureau.h
+++ b/src/compat/bureau.h
@@ -1,6 +1,6 @@
 // A router's part in the register of what is published: its seat, if it is one of the three; the changes that
 // it brings, one after another; and what it knows of the catalogue. Decides when to say again, when to begin
-// anew and whom to ask; what is accepted is Change's and Holder's. Free of I/O and clocks; one owner, one
+// anew and whom to ask; what is accepted is Change's and RecordReplica's. Free of I/O and clocks; one owner, one
 // thread. What is to be sent, also to itself, is gathered until it is taken.
 //
 // A seat's answers may leave only once memory() is kept where the process's end does not reach it, if there
@@ -19,12 +19,12 @@
 #include "compat/catalogue.h"
 #include "compat/register.h"
 #include "compat/wire.h"
-#include "takeover/seats.h"
+#include "failover/replica_set.h"
 
 namespace peatbend::compat {
 
-using takeover::Span;
-using takeover::Time;
+using failover::Span;
+using failover::Time;
 
 struct BureauOptions {
   Span again = std::chrono::milliseconds{100};  // to seats that have not answered
@@ -56,9 +56,9 @@
     std::uint64_t changes = 0, refused = 0, goes = 0, outrun = 0, fetched = 0, words = 0;
   };
 
-  // `life`: as takeover::Holder's; 0 while it is not sure, and then nothing is brought or voted. `nonce`: of
+  // `life`: as failover::RecordReplica's; 0 while it is not sure, and then nothing is brought or voted. `nonce`: of
   // no other start of any process. `others`: the routers that seem to be there; only says whom to ask.
-  Bureau(BureauOptions options, const takeover::Seats& seats, std::string self, std::uint64_t life,
+  Bureau(BureauOptions options, const failover::ReplicaSet& seats, std::string self, std::uint64_t life,
          std::uint64_t nonce, Time now, std::function<std::vector<std::string>()> others);
 
   // Takes its seat, if it has one, with the memory of the former start where that was kept. Before it, it
@@ -79,8 +79,8 @@
 
   const Catalogue& known() const { return known_; }
   std::uint64_t news() const { return news_; }
-  bool seated() const { return own_ < takeover::kSeats; }
-  bool votes(Time now) const { return seated() && holder_.Votes(now, kWork); }
+  bool seated() const { return own_ < failover::kReplicas; }
+  bool votes(Time now) const { return seated() && replica_.Votes(now, kWork); }
   bool founding() const { return founds_ && !barred_; }
   // The word to found is refused: the others know of this seat from before.
   bool barred() const { return barred_; }
@@ -99,47 +99,47 @@
     Change::Command command;
     Then then;
   };
-  takeover::Holder::SeatsOf SeatsOf() const;
+  failover::RecordReplica::ReplicasFor ReplicasFor() const;
   void Remember(Time now, const Memory& memory);
   std::size_t SeatOf(const std::string& router) const;
-  void Post(std::vector<takeover::Claim::Out> out);
+  void Post(std::vector<failover::RecordProposer::Outgoing> out);
   void Send(const std::string& to, SayKind kind, std::uint64_t number = 0);
-  void SendMessage(const std::string& to, const takeover::Message& message);
+  void SendMessage(const std::string& to, const failover::Message& message);
   void TellNews(const std::string& to);
   void Begin(Time now);
-  void Answered(Time now, std::size_t seat, const takeover::Message& answer);
-  void TakeMessage(Time now, const std::string& from, const takeover::Message& message);
-  void Asked(Time now, const std::string& from, const takeover::Message& message);
+  void Answered(Time now, std::size_t seat, const failover::Message& answer);
+  void TakeMessage(Time now, const std::string& from, const failover::Message& message);
+  void Asked(Time now, const std::string& from, const failover::Message& message);
   void TakeFounding(Time now, const std::string& from, const Say& say);
   void TakeNews(const std::string& from, const Say& say);
   void AskToSit(Time now);
-  void Learn(const takeover::Ballot& ballot, Catalogue catalogue, std::string bytes);
+  void Learn(const failover::Ballot& ballot, Catalogue catalogue, std::string bytes);
 
   BureauOptions options_;
-  std::array<std::string, takeover::kSeats> seats_;
+  std::array<std::string, failover::kReplicas> seats_;
   std::uint64_t print_;  // of the seats
   std::string self_;
-  std::size_t own_ = takeover::kSeats;  // of seats_; kSeats: none, or not taken yet
+  std::size_t own_ = failover::kReplicas;  // of seats_; kReplicas: none, or not taken yet
   std::uint64_t life_, nonce_, go_ = 0;
   std::mt19937_64 random_;
   std::function<std::vector<std::string>()> others_;
 
-  takeover::Holder holder_;
+  failover::RecordReplica replica_;
   std::map<std::string, std::uint64_t> words_, foundings_;
   bool founds_ = false, barred_ = false, unsaved_ = false;
   std::uint64_t founding_ = 0;
-  std::array<bool, takeover::kSeats> agreed_{};  // to this one's founding
+  std::array<bool, failover::kReplicas> agreed_{};  // to this one's founding
 
   std::deque<Errand> queue_;  // the first is under way where there is a change
   std::optional<Change> change_;
-  takeover::Ballot met_, written_;
+  failover::Ballot met_, written_;
   int goes_ = 0, asked_to_sit_ = 0;
   bool paused_ = false;
   Time now_, begun_{}, again_at_{}, words_at_{}, news_at_{}, lag_since_{};
 
   Catalogue known_;
   std::string known_bytes_;
-  takeover::Ballot known_at_;
+  failover::Ballot known_at_;
   std::uint64_t known_print_ = 0, news_ = 0;
 
   std::vector<Out> out_;
--- a/src/compat/bureau_seat.cpp
+++ b/src/compat/bureau_seat.cpp
@@ -5,11 +5,11 @@
 
 namespace peatbend::compat {
 
-using takeover::Kind;
-using takeover::kSeats;
-using takeover::Message;
+using failover::Kind;
+using failover::kReplicas;
+using failover::Message;
 
-takeover::Holder::SeatsOf Bureau::SeatsOf() const {
+failover::RecordReplica::ReplicasFor Bureau::ReplicasFor() const {
   return [seats = seats_](const std::string&) { return seats; };
 }
 
@@ -17,7 +17,7 @@
   now_ = words_at_ = now;
   own_ = SeatOf(self_);
   if (!seated()) return;
-  holder_ = RegisterSeat(now, memory && memory->sits, self_, life_, SeatsOf());
+  replica_ = RegisterSeat(now, memory && memory->sits, self_, life_, ReplicasFor());
   if (memory) Remember(now, *memory);
 }
 
@@ -25,13 +25,13 @@
 
 Memory Bureau::memory() const {
   Memory all;
-  all.sits = seated() && holder_.Votes(now_, kWork);
-  all.life = holder_.life();
+  all.sits = seated() && replica_.Votes(now_, kWork);
+  all.life = replica_.life();
   all.founding = founding_;
   all.words = words_;
   all.foundings = foundings_;
-  auto at = holder_.slots().find(kWork);
-  if (at == holder_.slots().end() || !all.sits) return all;
+  auto at = replica_.stored().find(kWork);
+  if (at == replica_.stored().end() || !all.sits) return all;
   all.promised = at->second.promised;
   all.kept = at->second.kept;
   all.version = at->second.version;
@@ -42,46 +42,46 @@
 // Said again to a seat that forgets nothing: what it had accepted, what it had promised, whom it gave its
 // word.
 void Bureau::Remember(Time now, const Memory& memory) {
-  holder_.SetLife(memory.life);
+  replica_.SetLife(memory.life);
   founding_ = memory.founding;
   words_ = memory.words;
   foundings_ = memory.foundings;
   for (const auto& [name, life] : words_) {
     Message ask;
-    ask.kind = Kind::kAskWord;
-    ask.ballot.author = {name, life, 0};
-    holder_.Word(now, ask);
+    ask.kind = Kind::kSyncRequest;
+    ask.ballot.proposer = {name, life, 0};
+    replica_.AnswerSync(now, ask);
   }
   if (!memory.sits) return;
   Message said;
-  said.work = kWork;
+  said.operation = kWork;
   if (memory.version > 0) {
     said.kind = Kind::kAccept;
     said.ballot = memory.kept;
     said.version = memory.version;
     said.state.value = memory.value;
-    holder_.Take(now, said);
+    replica_.Take(now, said);
   }
   if (memory.promised.round > 0) {
     said = {};
-    said.work = kWork;
+    said.operation = kWork;
     said.ballot = memory.promised;
-    holder_.Take(now, said);
+    replica_.Take(now, said);
   }
 }
 
 void Bureau::SetLife(std::uint64_t life) {
   if (life <= life_) return;
   life_ = life;
-  std::uint64_t before = holder_.life();
-  holder_.SetLife(life);
-  if (seated() && holder_.life() != before) unsaved_ = true;
+  std::uint64_t before = replica_.life();
+  replica_.SetLife(life);
+  if (seated() && replica_.life() != before) unsaved_ = true;
 }
 
 // ---- Sitting ---------------------------------------------------------------------------------------------
 
 void Bureau::Found(Time now) {
-  if (!seated() || founds_ || holder_.Votes(now, kWork)) return;
+  if (!seated() || founds_ || replica_.Votes(now, kWork)) return;
   founds_ = unsaved_ = true;  // with its number, which the others are told
   words_at_ = now;
 }
@@ -94,8 +94,8 @@
   if (!founding())
     words_at_ = now + std::min(options_.words_most, options_.words * (1 << std::min(asked_to_sit_++ / 2, 5)));
   Message ask;
-  if (!founding()) ask = holder_.AskWord();
-  for (std::size_t seat = 0; seat < kSeats; ++seat) {
+  if (!founding()) ask = replica_.RequestSync();
+  for (std::size_t seat = 0; seat < kReplicas; ++seat) {
     if (seat == own_) continue;
     if (founding()) {
       if (!agreed_[seat]) Send(seats_[seat], SayKind::kAskFound, founding_);
@@ -108,12 +108,12 @@
 
 void Bureau::TakeFounding(Time now, const std::string& from, const Say& say) {
   std::size_t seat = SeatOf(from);
-  if (!seated() || seat == kSeats || seat == own_) return;
+  if (!seated() || seat == kReplicas || seat == own_) return;
   if (say.kind == SayKind::kAskFound) {
     auto at = foundings_.find(from);
     bool other = at != foundings_.end() && at->second != say.number;
     if (other || words_.contains(from)) return Send(from, SayKind::kNotFound, say.number);
-    if (!founding() && !holder_.Votes(now, kWork)) return;  // nobody has told this one that it is new
+    if (!founding() && !replica_.Votes(now, kWork)) return;  // nobody has told this one that it is new
     if (at == foundings_.end()) {
       foundings_[from] = say.number;
       unsaved_ = true;
@@ -126,8 +126,8 @@
     return;
   }
   agreed_[seat] = true;
-  if (std::ranges::count(agreed_, true) + 1 < static_cast<long>(kSeats)) return;
-  holder_ = RegisterSeat(now, true, self_, holder_.life(), SeatsOf());
+  if (std::ranges::count(agreed_, true) + 1 < static_cast<long>(kReplicas)) return;
+  replica_ = RegisterSeat(now, true, self_, replica_.life(), ReplicasFor());
   founds_ = false;
   unsaved_ = true;
 }
@@ -136,34 +136,34 @@
 void Bureau::Asked(Time now, const std::string& from, const Message& message) {
   if (!seated() || life_ == 0) return;
   switch (message.kind) {
-    case Kind::kAskWord: {
+    case Kind::kSyncRequest: {
       // One that does not vote could vouch for nothing, and would keep the asker from being founded.
-      if (SeatOf(from) == kSeats || from == self_ || message.ballot.author.name != from) return;
-      if (!holder_.Votes(now, kWork)) return;
+      if (SeatOf(from) == kReplicas || from == self_ || message.ballot.proposer.name != from) return;
+      if (!replica_.Votes(now, kWork)) return;
       std::uint64_t& noted = words_[from];
-      if (message.ballot.author.life > noted) {
-        noted = message.ballot.author.life;
+      if (message.ballot.proposer.life > noted) {
+        noted = message.ballot.proposer.life;
         unsaved_ = true;
       }
-      for (const Message& word : holder_.Word(now, message)) SendMessage(from, word);
+      for (const Message& word : replica_.AnswerSync(now, message)) SendMessage(from, word);
       return;
     }
-    case Kind::kWord:
-    case Kind::kCopy: {
-      if (SeatOf(from) == kSeats || holder_.Votes(now, kWork)) return;
-      holder_.TakeWord(now, from, message);
-      if (holder_.Votes(now, kWork)) founds_ = false, unsaved_ = true;
+    case Kind::kSyncDone:
+    case Kind::kSyncRecord: {
+      if (SeatOf(from) == kReplicas || replica_.Votes(now, kWork)) return;
+      replica_.HandleSync(now, from, message);
+      if (replica_.Votes(now, kWork)) founds_ = false, unsaved_ = true;
       return;
     }
     case Kind::kPrepare:
     case Kind::kAccept: {
-      if (message.work != kWork || message.ballot.round == 0) return;  // of the register nothing is ever free
-      bool before = holder_.Votes(now, kWork);
-      auto slot = holder_.slots().find(kWork);
-      auto was = slot == holder_.slots().end() ? takeover::Holder::Slot{} : slot->second;
-      Message answer = holder_.Take(now, message);
-      slot = holder_.slots().find(kWork);
-      if (before && slot != holder_.slots().end() &&
+      if (message.operation != kWork || message.ballot.round == 0) return;  // of the register nothing is ever free
+      bool before = replica_.Votes(now, kWork);
+      auto slot = replica_.stored().find(kWork);
+      auto was = slot == replica_.stored().end() ? failover::RecordReplica::StoredRecord{} : slot->second;
+      Message answer = replica_.Take(now, message);
+      slot = replica_.stored().find(kWork);
+      if (before && slot != replica_.stored().end() &&
           (slot->second.promised != was.promised || slot->second.kept != was.kept ||
            slot->second.version != was.version))
         unsaved_ = true;
--- a/src/compat/librarian.cpp
+++ b/src/compat/librarian.cpp
@@ -8,8 +8,8 @@
 
 namespace peatbend::compat {
 
-using takeover::Span;
-using takeover::Time;
+using failover::Span;
+using failover::Time;
 
 namespace {
 
--- a/src/compat/register.cpp
+++ b/src/compat/register.cpp
@@ -2,26 +2,26 @@
 
 namespace peatbend::compat {
 
-using takeover::Claim;
+using failover::RecordProposer;
 
-takeover::Holder RegisterSeat(takeover::Time now, bool found, std::string self, std::uint64_t life,
-                              takeover::Holder::SeatsOf seats_of, std::size_t bytes) {
-  return takeover::Holder({.life = kForEver, .bytes = bytes}, found ? now - kForEver : now, std::move(self),
-                          life, std::move(seats_of));
+failover::RecordReplica RegisterSeat(failover::Time now, bool found, std::string self, std::uint64_t life,
+                              failover::RecordReplica::ReplicasFor replicas_for, std::size_t bytes) {
+  return failover::RecordReplica({.lifetime = kForEver, .bytes = bytes}, found ? now - kForEver : now, std::move(self),
+                          life, std::move(replicas_for));
 }
 
-void Change::Begin(takeover::Time now, std::vector<Claim::Out>& out) {
+void Change::Begin(failover::Time now, std::vector<RecordProposer::Outgoing>& out) {
   answer_ = {};
   catalogue_.reset();
-  claim_.Ask(now, out);
+  record_.Ask(now, out);
 }
 
-Change::Verdict Change::Take(takeover::Time now, std::size_t seat, const takeover::Message& answer,
-                             std::vector<Claim::Out>& out) {
-  if (!claim_.Take(now, seat, answer)) return Verdict::kNothing;
-  switch (claim_.phase()) {
-    case Claim::Phase::kRead: {
-      takeover::State next = claim_.state();
+Change::Verdict Change::Take(failover::Time now, std::size_t seat, const failover::Message& answer,
+                             std::vector<RecordProposer::Outgoing>& out) {
+  if (!record_.Take(now, seat, answer)) return Verdict::kNothing;
+  switch (record_.phase()) {
+    case RecordProposer::Phase::kRead: {
+      failover::RecordState next = record_.state();
       catalogue_ = Catalogue::Read(next.value, bounds_);
       if (catalogue_) {
         answer_ = command_(*catalogue_);
@@ -30,12 +30,12 @@
         answer_ = {{{"", "", "form", "the register holds what is not known here", 0, {}}}};
       }
       // Also where nothing changes: what was read may stand at one seat alone, and be lost.
-      claim_.Write(now, std::move(next), out);
+      record_.Write(now, std::move(next), out);
       return Verdict::kNothing;
     }
-    case Claim::Phase::kHolding:
+    case RecordProposer::Phase::kOwner:
       return Verdict::kTell;
-    case Claim::Phase::kLost:
+    case RecordProposer::Phase::kLost:
       return Verdict::kLost;
     default:
       return Verdict::kNothing;
--- a/src/compat/wire.h
+++ b/src/compat/wire.h
@@ -9,7 +9,7 @@
 #include <string_view>
 
 #include "base/decode_error.h"
-#include "takeover/record.h"
+#include "failover/record.h"
 
 namespace peatbend::compat {
 
@@ -31,7 +31,7 @@
 struct Say {
   SayKind kind = SayKind::kRegister;
   std::uint64_t number = 0, print = 0, at = 0, total = 0;
-  takeover::Ballot ballot;
+  failover::Ballot ballot;
   std::string bytes;
 };
 
@@ -47,7 +47,7 @@
   bool sits = false;           // it votes
   std::uint64_t life = 0;      // of its last start
   std::uint64_t founding = 0;  // its own, as it was told to the others; 0: none
-  takeover::Ballot promised, kept;
+  failover::Ballot promised, kept;
   std::uint32_t version = 0;  // 0: nothing is kept
   std::string value;
   std::map<std::string, std::uint64_t> words;      // lives of those that asked for this one's word
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -15,7 +15,7 @@
 #include "config/file.h"
 #include "config/subjects.h"
 #include "rations/book.h"
-#include "takeover/seats.h"
+#include "failover/replica_set.h"
 
 namespace peatbend {
 namespace {
@@ -146,7 +146,7 @@
 void CheckSeats(const std::string& key, const std::vector<std::string>& seats) {
   std::set<std::string> names;
   for (const std::string& seat : seats) {
-    std::string name = takeover::ReadSeat(seat).router;
+    std::string name = failover::ParseReplica(seat).router;
     if (name.empty() || name.size() > 64)
       throw ConfigError(key + ": \"NAME/ZONE\" expected, not \"" + seat + "\"");
     if (!names.insert(name).second) throw ConfigError(key + ": " + name + " twice");
@@ -154,17 +154,17 @@
   if (names.size() < 3) throw ConfigError(key + ": three or more expected");
 }
 
-void ReadTakeover(const json& own, Config& config) {
+void ReadFailover(const json& own, Config& config) {
   if (own.is_null()) return;
-  config.takeover.seats = own.value("seats", std::vector<std::string>());
-  config.takeover.alone = own.value("alone", config.takeover.alone);
-  if (config.takeover.alone != "reject" && config.takeover.alone != "serve")
-    throw ConfigError("takeover.alone: \"reject\" or \"serve\" expected");
-  if (config.takeover.seats.empty())
-    throw ConfigError("takeover.seats: missing, though other keys of [takeover] are set");
+  config.failover.replicas = own.value("replicas", std::vector<std::string>());
+  config.failover.no_quorum = own.value("no_quorum", config.failover.no_quorum);
+  if (config.failover.no_quorum != "reject" && config.failover.no_quorum != "serve")
+    throw ConfigError("failover.no_quorum: \"reject\" or \"serve\" expected");
+  if (config.failover.replicas.empty())
+    throw ConfigError("failover.replicas: missing, though other keys of [failover] are set");
   if (config.peers.listen.empty())
-    throw ConfigError("takeover: needs [peers], by which routers reach each other");
-  CheckSeats("takeover.seats", config.takeover.seats);
+    throw ConfigError("failover: needs [peers], by which routers reach each other");
+  CheckSeats("failover.replicas", config.failover.replicas);
 }
 
 std::vector<std::string> WithoutAddresses(std::vector<std::string> seats) {
@@ -175,7 +175,7 @@
 void ReadRations(const json& own, Config& config) {
   if (own.is_null()) return;
   config.rations.book = own.value("book", std::string());
-  config.rations.seats = own.value("seats", config.takeover.seats);
+  config.rations.seats = own.value("seats", config.failover.replicas);
   if (config.rations.book.empty())
     throw ConfigError("rations.book: missing, though other keys of [rations] are set");
   if (config.peers.listen.empty())
@@ -211,7 +211,7 @@
 void ReadOverload(const json& own, Config& config) {
   if (own.is_null()) return;
   config.overload.on = own.value("on", false);
-  const auto& otherwise = config.rations.seats.empty() ? config.takeover.seats : config.rations.seats;
+  const auto& otherwise = config.rations.seats.empty() ? config.failover.replicas : config.rations.seats;
   config.overload.seats = own.value("seats", WithoutAddresses(otherwise));
   if (!config.overload.on) return;
   if (config.peers.listen.empty())
@@ -273,7 +273,7 @@
     if (faults.size() == before) attempt("", [&] { CheckSettings(config.settings); });
   }
   attempt("", [&] { ReadPeers(own.peers, config); });
-  attempt("", [&] { ReadTakeover(own.takeover, config); });
+  attempt("", [&] { ReadFailover(own.failover, config); });
   attempt("", [&] { ReadRations(own.rations, config); });
   attempt("", [&] { ReadPublications(own.publications, config); });
   attempt("", [&] { ReadOverload(own.overload, config); });
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -44,11 +44,11 @@
     std::vector<std::string> seeds;
     bool operator==(const Peers&) const = default;
   } peers;
-  struct Takeover {                  // off where there are no seats
-    std::vector<std::string> seats;  // NAME/ZONE
-    std::string alone = "reject";    // or "serve"
-    bool operator==(const Takeover&) const = default;
-  } takeover;
+  struct Failover {                  // off where no replicas are set
+    std::vector<std::string> replicas;  // NAME/ZONE
+    std::string no_quorum = "reject";   // or "serve"
+    bool operator==(const Failover&) const = default;
+  } failover;
   struct Rations {                                // off where there is no book
     std::string book;                             // the file's path
     std::vector<std::string> seats;               // NAME/ZONE
--- a/src/config/file.cpp
+++ b/src/config/file.cpp
@@ -39,7 +39,7 @@
     }
     for (const char* key : {"fleet", "listen", "advertise", "seeds"})
       known_.push_back(std::string("peers.") + key);
-    for (const char* key : {"seats", "alone"}) known_.push_back(std::string("takeover.") + key);
+    for (const char* key : {"replicas", "no_quorum"}) known_.push_back(std::string("failover.") + key);
     for (const char* key : {"book", "seats", "reads"}) known_.push_back(std::string("rations.") + key);
     for (const char* key : {"seats", "folder", "found"}) known_.push_back(std::string("publications.") + key);
     for (const char* key : {"on", "seats"}) known_.push_back(std::string("overload.") + key);
@@ -83,8 +83,8 @@
         std::ranges::any_of(TuningKeys(), [&](const TuningKey& one) { return one.name == pattern; });
     if (pattern.starts_with("peers.") && !tuning)
       return Texts(file_.peers, "seeds", "ADDRESS:PORT", node, key);
-    if (pattern.starts_with("takeover.") && !tuning)
-      return Texts(file_.takeover, "seats", "NAME/ZONE", node, key);
+    if (pattern.starts_with("failover.") && !tuning)
+      return Texts(file_.failover, "replicas", "NAME/ZONE", node, key);
     if (pattern == "rations.reads") {
       auto reads = node.value_exact<std::int64_t>();
       if (!reads) return Fault(node, key, "a whole number expected");
--- /dev/null
+++ b/src/failover/record_reader.h
@@ -0,0 +1,42 @@
+// Looks at a record without taking part: asks nobody for a promise, so it hinders nobody. For who waits for
+// operation that another has in hand.
+#pragma once
+
+#include <array>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "failover/record_proposer.h"
+
+namespace peatbend::failover {
+
+class RecordReader {
+ public:
+  // `proposer` tells one reader from another: of one process, no two have the same.
+  RecordReader(std::string operation, Proposer proposer) : operation_(std::move(operation)), proposer_(std::move(proposer)) {}
+
+  // Asks all replicas; what they said before is forgotten.
+  void Ask(std::vector<RecordProposer::Outgoing>& out);
+  void Take(std::size_t replica, const Message& answer);
+  bool Waits(std::size_t replica, const Message& answer) const;
+
+  // The outcome, if it stands: two replicas keep one that is final, under one ballot. Such a state is never
+  // replaced.
+  const RecordState* Outcome() const;
+  // Whose operation it is, as far as two replicas have told; nothing where they know of none, or have not told.
+  std::optional<Proposer> Owner() const;
+  bool Released() const;  // by that owner
+  // Two replicas have told, and neither knows of such operation, or it was rejected: it may be begun anew.
+  bool Free() const;
+
+ private:
+  const Message* Highest() const;
+
+  std::string operation_;
+  Proposer proposer_;
+  std::uint64_t round_ = 0;  // of asking
+  std::array<std::optional<Message>, kReplicas> seen_;
+};
+
+}  // namespace peatbend::failover
--- a/src/takeover/seats.cpp
+++ b/src/failover/replica_set.cpp
@@ -1,4 +1,4 @@
-#include "takeover/seats.h"
+#include "failover/replica_set.h"
 
 #include <xxhash.h>
 
@@ -7,16 +7,16 @@
 #include <stdexcept>
 #include <utility>
 
-namespace peatbend::takeover {
+namespace peatbend::failover {
 
-Seats::Seats(std::vector<SeatName> all) : all_(std::move(all)) {
-  std::ranges::sort(all_, {}, &SeatName::router);
-  if (all_.size() < kSeats) throw std::invalid_argument("three seats or more expected");
+ReplicaSet::ReplicaSet(std::vector<ReplicaName> all) : all_(std::move(all)) {
+  std::ranges::sort(all_, {}, &ReplicaName::router);
+  if (all_.size() < kReplicas) throw std::invalid_argument("three replicas or more expected");
   std::string bytes;
   for (std::size_t i = 0; i < all_.size(); ++i) {
     const std::string& name = all_[i].router;
-    if (name.empty()) throw std::invalid_argument("a seat without a name");
-    if (i > 0 && all_[i - 1].router == name) throw std::invalid_argument("seat " + name + " twice");
+    if (name.empty()) throw std::invalid_argument("a replica without a name");
+    if (i > 0 && all_[i - 1].router == name) throw std::invalid_argument("replica " + name + " twice");
     hashes_.push_back(XXH3_64bits(name.data(), name.size()));
     Put(bytes, name);
     Put(bytes, all_[i].zone);
@@ -24,27 +24,27 @@
   print_ = XXH3_64bits(bytes.data(), bytes.size());
 }
 
-SeatName ReadSeat(const std::string& line) {
+ReplicaName ParseReplica(const std::string& line) {
   std::size_t slash = line.rfind('/');
   return {line.substr(0, slash), slash == std::string::npos ? "" : line.substr(slash + 1)};
 }
 
-Seats Seats::Read(const std::vector<std::string>& lines) {
-  std::vector<SeatName> seats;
-  for (const std::string& line : lines) seats.push_back(ReadSeat(line));
-  return Seats(std::move(seats));
+ReplicaSet ReplicaSet::Parse(const std::vector<std::string>& lines) {
+  std::vector<ReplicaName> replicas;
+  for (const std::string& line : lines) replicas.push_back(ParseReplica(line));
+  return ReplicaSet(std::move(replicas));
 }
 
-std::array<std::size_t, kSeats> Seats::Of(const std::string& work) const {
-  std::uint64_t of_work = XXH3_64bits(work.data(), work.size());
+std::array<std::size_t, kReplicas> ReplicaSet::ReplicasFor(const std::string& operation) const {
+  std::uint64_t of_operation = XXH3_64bits(operation.data(), operation.size());
   std::vector<std::pair<std::uint64_t, std::size_t>> order;
   for (std::size_t i = 0; i < all_.size(); ++i) {
-    std::uint64_t both[2] = {of_work, hashes_[i]};
+    std::uint64_t both[2] = {of_operation, hashes_[i]};
     order.emplace_back(XXH3_64bits(both, sizeof both), i);
   }
   std::ranges::sort(order, std::greater<>());
-  std::array<std::size_t, kSeats> chosen{};
-  for (std::size_t n = 0; n < kSeats; ++n) {
+  std::array<std::size_t, kReplicas> chosen{};
+  for (std::size_t n = 0; n < kReplicas; ++n) {
     // The highest in a zone that has none yet; where all zones have one, the highest of the rest.
     auto has = [&](auto same) {
       return std::any_of(chosen.begin(), chosen.begin() + static_cast<long>(n), same);
@@ -60,4 +60,4 @@
   return chosen;
 }
 
-}  // namespace peatbend::takeover
+}  // namespace peatbend::failover
--- a/src/lab/peer_day.cpp
+++ b/src/lab/peer_day.cpp
@@ -110,7 +110,7 @@
   if (scenario_.failover) {
     std::vector<int> all(hosts_.size());
     std::iota(all.begin(), all.end(), 0);
-    text += fmt::format("[takeover]\nseats = [{}]\nalone = \"{}\"\nlinger_ms = {:.0f}\n",
+    text += fmt::format("[failover]\nreplicas = [{}]\nno_quorum = \"{}\"\nretain_ms = {:.0f}\n",
                         SeatsOf(scenario_, all), scenario_.no_quorum, scenario_.retain_ms);
   }
   if (scenario_.overload) {
--- a/src/rations/office.cpp
+++ b/src/rations/office.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-Office::Office(OfficeOptions options, takeover::Seats seats, std::string self, std::uint64_t nonce,
+Office::Office(OfficeOptions options, failover::ReplicaSet seats, std::string self, std::uint64_t nonce,
                std::uint64_t random, std::shared_ptr<const Table> table, Time now,
                std::function<bool(const std::string&)> present)
     : options_(options),
@@ -35,7 +35,7 @@
       forget_at_(now + kForgetEvery) {
   for (std::uint32_t shard = 0; shard < kShards; ++shard) {
     Place& place = places_[shard];
-    auto chosen = seats_.Of("ration shard " + std::to_string(shard));
+    auto chosen = seats_.ReplicasFor("ration shard " + std::to_string(shard));
     // In one order for all shards, that of their names: the fewer keep, the fewer a router has to ask.
     std::ranges::sort(chosen);
     for (std::size_t rank = 0; rank < kSeats; ++rank) {
--- a/src/rations/office.h
+++ b/src/rations/office.h
@@ -18,7 +18,7 @@
 #include "rations/keeper.h"
 #include "rations/kept.h"
 #include "rations/purse.h"
-#include "takeover/seats.h"
+#include "failover/replica_set.h"
 
 namespace peatbend::rations {
 
@@ -37,7 +37,7 @@
   // `seats`: may keep shards; the same at all routers. `nonce`: drawn at the process's start, never used
   // before. `present`: whether that router is there, as far as is known; only says whom to ask and when to
   // try.
-  Office(OfficeOptions options, takeover::Seats seats, std::string self, std::uint64_t nonce,
+  Office(OfficeOptions options, failover::ReplicaSet seats, std::string self, std::uint64_t nonce,
          std::uint64_t random, std::shared_ptr<const Table> table, Time now,
          std::function<bool(const std::string&)> present);
 
@@ -111,7 +111,7 @@
   Span Any(Span span);
 
   OfficeOptions options_;
-  takeover::Seats seats_;
+  failover::ReplicaSet seats_;
   std::string self_;
   std::uint64_t nonce_;
   std::minstd_rand random_;
--- a/src/router/figures.cpp
+++ b/src/router/figures.cpp
@@ -17,7 +17,7 @@
   if (overload_) log_.Metrics("overload counters", overload_->Figures());
 }
 
-std::string Router::Work() { return work_ ? work_->Describe() : "fail takeover is off"; }
+std::string Router::Work() { return work_ ? work_->Describe() : "fail failover is off"; }
 
 std::string Router::Peers() { return peers_ ? peers_->Describe() : "fail peers are off"; }
 
--- a/src/router/overload_office.cpp
+++ b/src/router/overload_office.cpp
@@ -7,7 +7,7 @@
 
 #include "base/nonce.h"
 #include "overload/parcel.h"
-#include "takeover/seats.h"
+#include "failover/replica_set.h"
 
 namespace peatbend::net {
 namespace {
@@ -42,7 +42,7 @@
       trials_(config.name, {}),
       returns_(config.name, {.per_second = static_cast<double>(config.tuning.overload.dials_per_second)}),
       tick_(base, [this] { Tick(); }) {
-  for (const std::string& seat : config.overload.seats) seats_.push_back(takeover::ReadSeat(seat).router);
+  for (const std::string& seat : config.overload.seats) seats_.push_back(failover::ParseReplica(seat).router);
   peers_.OnCargo(peers::Peers::Lane::kOverload,
                  [this](const std::string& from, const std::string& bytes) { Arrived(from, bytes); });
   decision_.Watch(this);
--- a/src/router/publication_office.cpp
+++ b/src/router/publication_office.cpp
@@ -22,7 +22,7 @@
       self_(config.name),
       folder_(config.publications.folder),
       found_(config.publications.found),
-      seats_(takeover::Seats::Read(config.publications.seats)),
+      seats_(failover::ReplicaSet::Parse(config.publications.seats)),
       bureau_({}, seats_, self_, peers.life(), Nonce(), peers::Peers::Now(),
               [this] { return peers_ != nullptr ? peers_->Others() : std::vector<std::string>(); }),
       tick_(base, [this] { Tick(); }) {
@@ -44,7 +44,7 @@
 // Takes the seat, with what its folder remembers, once the folder can be had.
 void PublicationOffice::Open() {
   if (opened_) return;
-  takeover::Time now = peers::Peers::Now();
+  failover::Time now = peers::Peers::Now();
   bool seat = std::ranges::any_of(seats_.all(), [this](const auto& one) { return one.router == self_; });
   if (folder_.empty() || !seat) {
     opened_ = true;
@@ -131,7 +131,7 @@
     ++dropped_;
     return log_.Line("publications dropped", fmt::format("what {} says {}", from, Text(error)));
   }
-  takeover::Time now = peers::Peers::Now();
+  failover::Time now = peers::Peers::Now();
   bool of_book = say.kind == compat::SayKind::kAskBook || say.kind == compat::SayKind::kBook;
   if (!of_book) {
     bureau_.Take(now, from, say);
@@ -172,7 +172,7 @@
 // Sends what there is, and hands on what is for this router itself. Nothing leaves before it is kept.
 void PublicationOffice::Flush() {
   if (peers_ == nullptr || std::exchange(flushing_, true)) return;
-  takeover::Time now = peers::Peers::Now();
+  failover::Time now = peers::Peers::Now();
   for (bool more = true; more;) {
     more = false;
     bool kept = Save();
@@ -202,11 +202,11 @@
   if (bureau_.barred() && !std::exchange(told_barred_, true))
     log_.Line("publications", "not founded again: another seat knows this one from before");
   if (bureau_.votes(now) && !std::exchange(told_votes_, true)) log_.Line("publications", "the seat votes");
-  takeover::Time due = bureau_.Due();
+  failover::Time due = bureau_.Due();
   if (librarian_) due = std::min(due, librarian_->Due());
-  takeover::Span in = std::max(due - now, takeover::Span{});
-  if (peers_->life() == 0) in = std::min<takeover::Span>(in, kLifeAgain);
-  if (!opened_) in = std::min<takeover::Span>(in, kOpenAgain);
+  failover::Span in = std::max(due - now, failover::Span{});
+  if (peers_->life() == 0) in = std::min<failover::Span>(in, kLifeAgain);
+  if (!opened_) in = std::min<failover::Span>(in, kOpenAgain);
   tick_.Set(in);
   flushing_ = false;
 }
--- a/src/router/publication_office.h
+++ b/src/router/publication_office.h
@@ -64,7 +64,7 @@
   Settings settings_;
   int reads_ = 0;
   bool found_, opened_ = false, told_barred_ = false, told_votes_ = false;
-  takeover::Seats seats_;
+  failover::ReplicaSet seats_;
   compat::Bureau bureau_;
   std::unique_ptr<compat::Store> store_;
   std::optional<compat::Librarian> librarian_;
--- a/src/router/ration_office.cpp
+++ b/src/router/ration_office.cpp
@@ -18,25 +18,25 @@
 
 // NAME, NAME/ZONE, NAME/ZONE@ADDRESS:PORT
 struct SeatLine {
-  takeover::SeatName name;
+  failover::ReplicaName name;
   std::string address;
 };
 SeatLine ReadSeat(const std::string& one) {
   SeatLine line;
   std::size_t at = one.rfind('@');
   if (at != std::string::npos) line.address = one.substr(at + 1);
-  line.name = takeover::ReadSeat(one.substr(0, at));
+  line.name = failover::ParseReplica(one.substr(0, at));
   return line;
 }
 
-takeover::Seats SeatsOf(const Config& config) {
-  std::vector<takeover::SeatName> seats;
+failover::ReplicaSet SeatsOf(const Config& config) {
+  std::vector<failover::ReplicaName> seats;
   for (const std::string& one : config.rations.seats) seats.push_back(ReadSeat(one).name);
-  return takeover::Seats(std::move(seats));
+  return failover::ReplicaSet(std::move(seats));
 }
 
 // Who states another is not to be listened to: of the seats, and of the addresses that make them.
-std::uint64_t PrintOf(const Config& config, const takeover::Seats& seats) {
+std::uint64_t PrintOf(const Config& config, const failover::ReplicaSet& seats) {
   std::vector<std::string> addresses;
   for (const std::string& one : config.rations.seats) {
     SeatLine line = ReadSeat(one);
@@ -88,7 +88,7 @@
               peers::Peers::Now(),
               [this](const std::string& router) { return peers_ != nullptr && peers_->Present(router); }),
       tick_(base, [this] { Tick(); }) {
-  for (const takeover::SeatName& seat : seats_.all()) {
+  for (const failover::ReplicaName& seat : seats_.all()) {
     if (!seat.zone.empty() && std::ranges::find(zones_, seat.zone) == zones_.end())
       zones_.push_back(seat.zone);
   }
--- a/src/router/ration_office.h
+++ b/src/router/ration_office.h
@@ -43,7 +43,7 @@
   peers::Peers* peers_;  // null: hushed
   Decision& decision_;
   Log& log_;
-  takeover::Seats seats_;
+  failover::ReplicaSet seats_;
   std::uint64_t print_;  // of the seats and their addresses
   rations::Office office_;
   std::uint64_t dropped_ = 0, sent_ = 0, bytes_ = 0, unreached_ = 0;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -188,7 +188,7 @@
       peers::Peers::Self{running_.name, zoned ? settings.zones[static_cast<std::size_t>(settings.zone)] : "",
                          PEATBEND_VERSION, running_.listen},
       std::random_device{}(), log_);
-  if (!running_.takeover.seats.empty()) work_.emplace(base_, running_, *peers_, decision_, log_);
+  if (!running_.failover.replicas.empty()) work_.emplace(base_, running_, *peers_, decision_, log_);
   if (running_.rations.table) rations_.emplace(base_, running_, *peers_, decision_, log_);
   if (!running_.publications.seats.empty()) publications_.emplace(base_, running_, *peers_, log_);
   if (publications_ && rations_)
@@ -335,7 +335,7 @@
                 "limits");
   at_next_start(config.tuning != running_.tuning, "tuning");
   at_next_start(config.peers != running_.peers, "peers");
-  at_next_start(config.takeover != running_.takeover, "takeover");
+  at_next_start(config.failover != running_.failover, "failover");
   if (rations_ && config.rations.table) TakeBook(config);
   if (publications_) publications_->Found(config.publications.found);
   running_.publications.found = config.publications.found;
--- a/src/router/work_in_hand.h
+++ b/src/router/work_in_hand.h
@@ -13,7 +13,7 @@
 #include "peers/peers.h"
 #include "stage/decision.h"
 #include "stage/keeping.h"
-#include "takeover/desk.h"
+#include "failover/ownership_manager.h"
 
 namespace peatbend::net {
 
@@ -23,11 +23,11 @@
   WorkInHand(event_base* base, const Config& config, peers::Peers& peers, Decision& decision, Log& log);
   ~WorkInHand() override;
 
-  bool Covers(const Request& request) const override;
+  bool Tracks(const Request& request) const override;
   void Opened(RequestId id, const Request& request, Duration left) override;
   void Want(RequestId id, const std::string& member) override;
   void FlowEnded(RequestId id, bool may_have_run) override;
-  void Finish(RequestId id, takeover::End end, std::string value) override;
+  void Finish(RequestId id, OperationOutcome end, std::string value) override;
   void Left(RequestId id) override;
 
   // The program's figures of it, names without a prefix.
@@ -43,7 +43,7 @@
   peers::Peers& peers_;
   Decision& decision_;
   Log& log_;
-  takeover::Desk desk_;
+  failover::OwnershipManager manager_;
   std::uint64_t dropped_ = 0, sent_ = 0, bytes_ = 0, unreached_ = 0;
   Timer tick_;
 };
--- a/src/stage/decision.cpp
+++ b/src/stage/decision.cpp
@@ -99,12 +99,12 @@
 void Decision::Keep(Keeping* keeping) {
   keeping_ = keeping;
   if (keeping_ != nullptr) return;
-  for (auto& [id, transaction] : transactions_) transaction->covered = false;
+  for (auto& [id, transaction] : transactions_) transaction->tracked = false;
 }
 
 void Decision::MaySend(RequestId id) { Post(Permit{id}); }
 
-void Decision::Close(RequestId id, takeover::End end, std::string value, Duration come_back) {
+void Decision::Close(RequestId id, OperationOutcome end, std::string value, Duration come_back) {
   Post(Closing{id, end, std::move(value), come_back});
 }
 
@@ -168,8 +168,8 @@
   }
   // What is over its ration, or shed, is rejected before anything of it is recorded.
   bool recorded = event.allowance != Allowance::kReject;
-  if (recorded && keeping_ != nullptr && keeping_->Covers(request)) {
-    transaction->covered = true;
+  if (recorded && keeping_ != nullptr && keeping_->Tracks(request)) {
+    transaction->tracked = true;
     keeping_->Opened(taken.id, request, event.remaining);
   }
   Ask(event);
@@ -183,7 +183,7 @@
     auto& flow = transaction->flows()[static_cast<std::size_t>(transaction->left_at())];
     if (flow) flow->Cancel();
   }
-  if (transaction != nullptr && transaction->covered) keeping_->Left(left.id);
+  if (transaction != nullptr && transaction->tracked) keeping_->Left(left.id);
   ForgetIfOver(left.id);
 }
 
@@ -197,16 +197,16 @@
   bool good = ended.reply.result == Result::kGood;
   if (transaction != nullptr && transaction->streams() == ended.attempt) {
     transaction->EndValue(good);  // of a value that was passed on as it came nothing is kept
-    if (transaction->covered) {
+    if (transaction->tracked) {
       keeping_->Left(ended.id);
       keeping_->FlowEnded(ended.id, true);
     }
-  } else if (transaction != nullptr && transaction->covered && good) {
+  } else if (transaction != nullptr && transaction->tracked && good) {
     transaction->ending = true;
-    keeping_->Finish(ended.id, takeover::End::kValue, std::string(Contents(ended.reply.value.get())));
+    keeping_->Finish(ended.id, OperationOutcome::kValue, std::string(Contents(ended.reply.value.get())));
   } else if (transaction != nullptr && good) {
     transaction->Serve(ended.reply.value.get());
-  } else if (transaction != nullptr && transaction->covered) {
+  } else if (transaction != nullptr && transaction->tracked) {
     keeping_->FlowEnded(ended.id, MayHaveRun(ended.reply.result));
   }
   OutcomeEvent event;
@@ -242,9 +242,9 @@
 void Decision::On(Closing& closing) {
   Transaction* transaction = Find(closing.id);
   if (transaction == nullptr) return;
-  transaction->covered = false;
+  transaction->tracked = false;
   NotSent(*transaction);
-  if (closing.end != takeover::End::kValue)
+  if (closing.end != OperationOutcome::kValue)
     return Tell(*transaction, closing.end, std::max(closing.come_back, transaction->come_back));
   BufferPtr value(evbuffer_new());
   Append(value.get(), closing.value);
@@ -270,7 +270,7 @@
     return NeverSent(send.id, attempt, send.server.name);
   }
   TimePoint begin_by = transaction->BeginBy(clock_.Now(), send.begin_within);
-  if (!transaction->covered) return Start(*transaction, attempt, send.give_up_after, begin_by);
+  if (!transaction->tracked) return Start(*transaction, attempt, send.give_up_after, begin_by);
   transaction->held = attempt;  // its record is asked first
   transaction->held_limit = send.give_up_after;
   transaction->held_begin_by = begin_by;
@@ -294,24 +294,24 @@
 
 void Decision::Do(const Refuse& refuse) {
   Transaction* transaction = Find(refuse.id);
-  if (transaction != nullptr) End(*transaction, takeover::End::kRejected, refuse.backoff);
+  if (transaction != nullptr) End(*transaction, OperationOutcome::kRejected, refuse.backoff);
 }
 
 void Decision::Do(const Fail& fail) {
   Transaction* transaction = Find(fail.id);
-  if (transaction != nullptr) End(*transaction, takeover::End::kFailed, {});
+  if (transaction != nullptr) End(*transaction, OperationOutcome::kFailed, {});
 }
 
-void Decision::End(Transaction& transaction, takeover::End end, Duration come_back) {
-  if (!transaction.covered || transaction.finished()) return Tell(transaction, end, come_back);
+void Decision::End(Transaction& transaction, OperationOutcome end, Duration come_back) {
+  if (!transaction.tracked || transaction.finished()) return Tell(transaction, end, come_back);
   transaction.ending = true;
   transaction.GiveUpUnbegun();
   transaction.come_back = come_back;
   keeping_->Finish(transaction.id(), end, {});
 }
 
-void Decision::Tell(Transaction& transaction, takeover::End end, Duration come_back) {
-  if (end == takeover::End::kRejected) {
+void Decision::Tell(Transaction& transaction, OperationOutcome end, Duration come_back) {
+  if (end == OperationOutcome::kRejected) {
     transaction.Reject(std::min(come_back, settings_.max_retry_after));
   } else {
     transaction.Fail();
--- a/src/stage/decision.h
+++ b/src/stage/decision.h
@@ -59,7 +59,7 @@
   bool IsOrigin(std::string_view member) const { return origins_.contains(member); }
   bool asks_for_clients() const { return rationing_ != nullptr; }
   void MaySend(RequestId id);
-  void Close(RequestId id, takeover::End end, std::string value, Duration come_back);
+  void Close(RequestId id, OperationOutcome end, std::string value, Duration come_back);
   // The client has taken what waited for it of a large value.
   void GoOn(RequestId id);
 
@@ -99,7 +99,7 @@
   };
   struct Closing {
     RequestId id;
-    takeover::End end;
+    OperationOutcome end;
     std::string value;
     Duration come_back;
   };
@@ -132,8 +132,8 @@
   // Its held attempt, if any, is not sent.
   void NotSent(Transaction& transaction);
   // The end is the module's, a reject or a failure: told at once, or once its record stands.
-  void End(Transaction& transaction, takeover::End end, Duration come_back);
-  void Tell(Transaction& transaction, takeover::End end, Duration come_back);
+  void End(Transaction& transaction, OperationOutcome end, Duration come_back);
+  void Tell(Transaction& transaction, OperationOutcome end, Duration come_back);
   Transaction* Find(RequestId id);
   ServerSideFlow* StreamOf(Transaction& transaction);
   void TellEnd(Transaction& transaction);
--- a/src/stage/keeping.h
+++ b/src/stage/keeping.h
@@ -6,21 +6,23 @@
 #include <string>
 
 #include "protocol/request.h"
-#include "takeover/record.h"
+#include "failover/record.h"
 
 namespace peatbend::net {
 
+using failover::OperationOutcome;
+
 class Keeping {
  public:
   virtual ~Keeping() = default;
-  virtual bool Covers(const Request& request) const = 0;
+  virtual bool Tracks(const Request& request) const = 0;
   virtual void Opened(RequestId id, const Request& request, Duration left) = 0;
   // MaySend or Close follows.
   virtual void Want(RequestId id, const std::string& member) = 0;
   // The attempt that was let go last has ended without a value.
   virtual void FlowEnded(RequestId id, bool may_have_run) = 0;
   // Close follows, with this end or with another.
-  virtual void Finish(RequestId id, takeover::End end, std::string value) = 0;
+  virtual void Finish(RequestId id, OperationOutcome end, std::string value) = 0;
   // Nothing follows.
   virtual void Left(RequestId id) = 0;
 };
--- a/src/stage/transaction.h
+++ b/src/stage/transaction.h
@@ -59,7 +59,7 @@
   std::uint64_t work = 0;  // where overload is watched, and its end has not been told there
 
   // Where work in hand is kept: its record is asked before it is sent and answered.
-  bool covered = false;
+  bool tracked = false;
   bool ending = false;  // the module has done with it; its end is being recorded
   int held = -1;        // the attempt that waits for the record
   Duration held_limit{}, come_back{};
--- a/tests/compat/bureau_test.cpp
+++ b/tests/compat/bureau_test.cpp
@@ -77,7 +77,7 @@
     std::size_t from, to;
     Say say;
   };
-  takeover::Seats seats;
+  failover::ReplicaSet seats;
   Time now = 1h;
   std::uint64_t life = 0;
   unsigned loss = 0;
--- a/tests/compat/register_test.cpp
+++ b/tests/compat/register_test.cpp
@@ -6,36 +6,36 @@
 namespace peatbend::compat {
 namespace {
 
-using takeover::kSeats;
+using failover::kReplicas;
 
 struct Fleet {
   Fleet() {
-    for (std::size_t s = 0; s < kSeats; ++s) seats.push_back(Seat(s, 1, true));
+    for (std::size_t s = 0; s < kReplicas; ++s) seats.push_back(Seat(s, 1, true));
   }
-  static takeover::Holder Seat(std::size_t s, std::uint64_t life, bool found) {
+  static failover::RecordReplica Seat(std::size_t s, std::uint64_t life, bool found) {
     auto name = [](std::size_t seat) { return "s" + std::to_string(seat); };
     return RegisterSeat({}, found, name(s), life, [name](const std::string&) {
-      return std::array<std::string, kSeats>{name(0), name(1), name(2)};
+      return std::array<std::string, kReplicas>{name(0), name(1), name(2)};
     });
   }
   // Brings it there by the seats that are reached; above the rounds that it meets, so in two goes.
   Change::Verdict Bring(Change& change, std::vector<bool> reached) {
     auto last = Change::Verdict::kLost;
     for (int begun = 0; begun < 2 && last == Change::Verdict::kLost; ++begun) {
-      std::vector<takeover::Claim::Out> out;
+      std::vector<failover::RecordProposer::Outgoing> out;
       change.Begin({}, out);
       last = Change::Verdict::kNothing;
       for (std::size_t i = 0; i < out.size(); ++i) {
-        if (!reached[out[i].seat]) continue;
+        if (!reached[out[i].replica]) continue;
         auto asked = out[i];
-        auto verdict = change.Take({}, asked.seat, seats[asked.seat].Take({}, asked.message), out);
+        auto verdict = change.Take({}, asked.replica, seats[asked.replica].Take({}, asked.message), out);
         if (verdict != Change::Verdict::kNothing) last = verdict;
       }
     }
     return last;
   }
   Change By(const std::string& who, Change::Command command) { return Change("w", {who, 1, ++go}, command); }
-  std::vector<takeover::Holder> seats;
+  std::vector<failover::RecordReplica> seats;
   std::uint64_t go = 0;
 };
 
@@ -65,10 +65,10 @@
   CHECK(fleet.Bring(one, {true, true, false}) == Change::Verdict::kTell);
   fleet.seats[0] = Fleet::Seat(0, 2, false);
   CHECK(fleet.Bring(other, {true, false, true}) == Change::Verdict::kNothing);
-  takeover::Message ask = fleet.seats[0].AskWord();
+  failover::Message ask = fleet.seats[0].RequestSync();
   for (std::size_t s : {1, 2})
-    for (const auto& word : fleet.seats[s].Word({}, ask))
-      fleet.seats[0].TakeWord({}, "s" + std::to_string(s), word);
+    for (const auto& word : fleet.seats[s].AnswerSync({}, ask))
+      fleet.seats[0].HandleSync({}, "s" + std::to_string(s), word);
   for (auto& seat : fleet.seats) seat.Forget(std::chrono::hours(24 * 365));
   Change third = fleet.By("c", First(R"("long")"));
   CHECK(fleet.Bring(third, {true, false, true}) == Change::Verdict::kTell);
@@ -77,9 +77,9 @@
 
 TEST_CASE("a catalogue of a later form is left as it is") {
   Fleet fleet;
-  takeover::Message later;
-  later.kind = takeover::Kind::kAccept;
-  later.work = "w";
+  failover::Message later;
+  later.kind = failover::Kind::kAccept;
+  later.operation = "w";
   later.ballot = {1, {"later", 1, 1}};
   later.version = 1;
   later.state.value = "\x92\x02\x90";
@@ -88,7 +88,7 @@
   CHECK(fleet.Bring(one, {true, true, true}) == Change::Verdict::kTell);
   CHECK(one.answer().objections.at(0).rule == "form");
   CHECK_FALSE(one.catalogue());
-  for (const auto& seat : fleet.seats) CHECK(seat.slots().at("w").state.value == later.state.value);
+  for (const auto& seat : fleet.seats) CHECK(seat.stored().at("w").state.value == later.state.value);
 }
 
 }  // namespace
--- a/tests/customer_names.sh
+++ b/tests/customer_names.sh
@@ -5,7 +5,7 @@
 set -euo pipefail
 root=$1
 router=(src/main.cpp include)
-for package in admin base compat config front handover member module overload peers discovery protocol rations router stage takeover; do
+for package in admin base compat config front handover member module overload peers discovery protocol rations router stage failover; do
   router+=("src/$package")
 done
 names=$(awk '
--- a/tests/takeover/desk_test.cpp
+++ b/tests/failover/ownership_test.cpp
@@ -1,11 +1,11 @@
 // Fleets of desks under faults, in simulated time.
 #include "doctest/doctest.h"
-#include "takeover/desk_world.h"
+#include "failover/failover_simulation.h"
 
-namespace peatbend::takeover::test {
+namespace peatbend::failover::test {
 namespace {
 
-DeskWorld::Outcome Play(DeskWorld& world, double per_second, Span lasts, bool kills, bool stalls, bool cuts) {
+FailoverSimulation::Outcome Play(FailoverSimulation& world, double per_second, Span lasts, bool kills, bool stalls, bool cuts) {
   std::size_t routers = world.size();
   Span each = Span(static_cast<Span::rep>(1e9 / per_second));
   int n = 0;
@@ -40,7 +40,7 @@
   return world.Reckon();
 }
 
-void Right(const DeskWorld::Outcome& outcome) {
+void Right(const FailoverSimulation::Outcome& outcome) {
   CHECK(outcome.unsafe_twice == 0);
   CHECK(outcome.keyed_late == 0);
   CHECK(outcome.two_ends == 0);
@@ -48,8 +48,8 @@
   CHECK(outcome.late == 0);
 }
 
-TEST_CASE("desk: without faults all is served, once") {
-  DeskWorld world({.routers = 5});
+TEST_CASE("ownership: without faults all is served, once") {
+  FailoverSimulation world({.routers = 5});
   auto outcome = Play(world, 200, 5s, false, false, false);
   Right(outcome);
   CHECK(outcome.asked >= 1000);
@@ -57,26 +57,26 @@
   CHECK(outcome.rejected == 0);
 }
 
-TEST_CASE("desk: without a life that the fleet knows nothing is asked, and no word") {
-  Seats seats({{"a", "x"}, {"b", "y"}, {"c", "x"}});
+TEST_CASE("ownership: without a life that the fleet knows nothing is asked, and no word") {
+  ReplicaSet replicas({{"a", "x"}, {"b", "y"}, {"c", "x"}});
   ClassSettings cls;
   cls.effect = Effect::kUnsafe;
-  Desk desk({}, seats, "a", 0, 1s, [](const Author&) { return false; });
-  desk.Open(1s, 1, "w", cls, 3s);
-  desk.Want(1s, 1, "m");
-  desk.Tick(1s);
-  CHECK(desk.TakeOut().empty());
-  auto said = desk.TakeSaid();
+  OwnershipManager manager({}, replicas, "a", 0, 1s, [](const Proposer&) { return false; });
+  manager.Open(1s, 1, "w", cls, 3s);
+  manager.Want(1s, 1, "m");
+  manager.Tick(1s);
+  CHECK(manager.DrainOutgoing().empty());
+  auto said = manager.DrainResults();
   REQUIRE(said.size() == 1);
-  CHECK(said[0].alone);
-  CHECK(said[0].end == End::kRejected);
-  desk.SetLife(77);
-  desk.Tick(2s);
-  auto asked = desk.TakeOut();
+  CHECK(said[0].no_quorum);
+  CHECK(said[0].outcome == OperationOutcome::kRejected);
+  manager.SetLife(77);
+  manager.Tick(2s);
+  auto asked = manager.DrainOutgoing();
   REQUIRE(asked.size() == 2);
-  for (const Desk::Out& one : asked) {
-    CHECK(one.message.kind == Kind::kAskWord);
-    CHECK(one.message.ballot.author.life == 77);
+  for (const OwnershipManager::Outgoing& one : asked) {
+    CHECK(one.message.kind == Kind::kSyncRequest);
+    CHECK(one.message.ballot.proposer.life == 77);
   }
 }
 
@@ -84,20 +84,20 @@
   world::Random random(7, 1);
   Message message;
   message.kind = Kind::kAccept;
-  message.work = "w";
+  message.operation = "w";
   message.ballot = {3, {"r1", 77, 2}};
   message.kept = {2, {"r2", 78, 1}};
   message.promised = {4, {"r3", 79, 1}};
   message.version = 5;
   message.age = 12ms;
-  message.refusal = Refusal::kTaken;
-  message.state.steps.resize(2);
-  message.state.steps[0].by = {"r1", 77, 2};
-  message.state.steps[0].server = "m1";
-  message.state.steps[1].number = 4;
-  message.state.end = End::kValue;
+  message.nack = Nack::kPreempted;
+  message.state.attempts.resize(2);
+  message.state.attempts[0].by = {"r1", 77, 2};
+  message.state.attempts[0].server = "m1";
+  message.state.attempts[1].number = 4;
+  message.state.outcome = OperationOutcome::kValue;
   message.state.value = std::string("a\0b", 3);
-  message.state.let_go = true;
+  message.state.released = true;
   std::string bytes = Encode(9, {message, message});
   CHECK(bytes.size() <= 2 * SizeOf(message) + 20);
   std::vector<Message> read;
@@ -111,11 +111,11 @@
     for (int n = 0; n < 1 + i % 4; ++n)
       spoilt[static_cast<std::size_t>(random.Unit() * static_cast<double>(bytes.size()))] =
           static_cast<char>(random.Unit() * 256);
-    if (Decode(spoilt, 9, read) == DecodeError::kNone) CHECK(read.size() <= kMostTogether);
+    if (Decode(spoilt, 9, read) == DecodeError::kNone) CHECK(read.size() <= kMaxMessages);
   }
 }
 
-TEST_CASE("desk: kills, stalls, cuts, loss and doubles") {
+TEST_CASE("ownership: kills, stalls, cuts, loss and doubles") {
 #if defined(__SANITIZE_ADDRESS__)
   constexpr std::uint64_t kDays = 1;
   constexpr Span kLasts = 5s;
@@ -125,7 +125,7 @@
 #endif
   for (std::uint64_t seed = 1; seed <= kDays; ++seed) {
     CAPTURE(seed);
-    DeskWorld world({.routers = 20, .seed = seed, .loss = 0.05, .duplicate = 0.05});
+    FailoverSimulation world({.routers = 20, .seed = seed, .loss = 0.05, .duplicate = 0.05});
     auto o = Play(world, 200, kLasts, true, true, true);
     Right(o);
     MESSAGE(fmt::format("asked {} values {} failed {} rejects {}; router lost {}, of them ended {}", o.asked,
@@ -135,4 +135,4 @@
 }
 
 }  // namespace
-}  // namespace peatbend::takeover::test
+}  // namespace peatbend::failover::test
--- a/tests/fuzz/rations_fuzz.cpp
+++ b/tests/fuzz/rations_fuzz.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 constexpr std::uint64_t kOwnNonce = 7;
-const std::vector<takeover::SeatName> kSeatNames{{"me", "a"}, {"other", "b"}, {"third", "c"}};
+const std::vector<failover::ReplicaName> kSeatNames{{"me", "a"}, {"other", "b"}, {"third", "c"}};
 
 std::shared_ptr<const Table> TheTable() {
   auto table = std::make_shared<Table>();
@@ -55,7 +55,7 @@
 
 extern "C" std::size_t LLVMFuzzerCustomMutator(std::uint8_t* data, std::size_t size, std::size_t most,
                                                unsigned seed) {
-  static const takeover::Seats seats(kSeatNames);
+  static const failover::ReplicaSet seats(kSeatNames);
   if (seed % 4 == 0) {
     std::string sample = Sample(seed / 8, seats.print());
     size = std::min(sample.size(), most);
@@ -66,7 +66,7 @@
 }
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  static const takeover::Seats seats(kSeatNames);
+  static const failover::ReplicaSet seats(kSeatNames);
   static const auto table = TheTable();
   std::string_view bytes(reinterpret_cast<const char*>(data), size);
   std::vector<Message> messages, again;
--- a/tests/layers.sh
+++ b/tests/layers.sh
@@ -2,7 +2,7 @@
 # The packages under src/ ($1) depend one way: a file may include headers of its own package and of those that
 # stand before it in this list, and of none behind it.
 set -eu
-order="base module protocol discovery takeover rations compat overload config peers member stage front handover admin router world standin links processes twin lab"
+order="base module protocol discovery failover rations compat overload config peers member stage front handover admin router world standin links processes twin lab"
 status=0
 seen=""
 for package in $order; do
--- a/tests/net/config_test.cpp
+++ b/tests/net/config_test.cpp
@@ -128,32 +128,32 @@
                     "f.toml:3: pool.silence_ms: renamed to discovery.silence_ms"});
 }
 
-TEST_CASE("[takeover] is off unless there are seats, and each of its faults is named") {
-  CHECK(ReadConfig({.toml = kSound}, NoVariable).takeover.seats.empty());
+TEST_CASE("[failover] is off unless replicas are set, and each of its faults is named") {
+  CHECK(ReadConfig({.toml = kSound}, NoVariable).failover.replicas.empty());
   const std::string peers = "[peers]\nfleet = \"f\"\nlisten = \"127.0.0.1:7300\"\n";
-  auto fault = [&](const std::string& takeover, bool with_peers = true) -> std::string {
+  auto fault = [&](const std::string& failover, bool with_peers = true) -> std::string {
     try {
-      ReadConfig({.toml = kSound + (with_peers ? peers : "") + "[takeover]\n" + takeover}, NoVariable);
+      ReadConfig({.toml = kSound + (with_peers ? peers : "") + "[failover]\n" + failover}, NoVariable);
     } catch (const ConfigError& error) {
       return error.what();
     }
     return "none";
   };
-  const std::string three = "seats = [\"a/x\", \"b/y\", \"c\"]\n";
+  const std::string three = "replicas = [\"a/x\", \"b/y\", \"c\"]\n";
   CHECK(fault(three) == "none");
-  CHECK(fault(three + "alone = \"serve\"\n") == "none");
-  for (const auto& [takeover, key] :
-       {std::pair<std::string, std::string>{"alone = \"reject\"\n", "takeover.seats: missing"},
-        {three + "alone = \"never\"\n", "takeover.alone: "},
-        {"seats = [\"a\", \"b\"]\n", "takeover.seats: three or more"},
-        {"seats = [\"a/x\", \"b\", \"a/y\"]\n", "takeover.seats: a twice"},
-        {"seats = [\"a\", \"b\", \"/x\"]\n", "takeover.seats: \"NAME/ZONE\" expected"},
-        {"seats = \"a\"\n", "takeover.seats: a list of NAME/ZONE expected"},
-        {"seat = [\"a\"]\n", "takeover.seat: not known; the nearest known name is takeover.seats"}}) {
-    CAPTURE(takeover);
-    CHECK(fault(takeover).find(key) != std::string::npos);
+  CHECK(fault(three + "no_quorum = \"serve\"\n") == "none");
+  for (const auto& [failover, key] :
+       {std::pair<std::string, std::string>{"no_quorum = \"reject\"\n", "failover.replicas: missing"},
+        {three + "no_quorum = \"never\"\n", "failover.no_quorum: "},
+        {"replicas = [\"a\", \"b\"]\n", "failover.replicas: three or more"},
+        {"replicas = [\"a/x\", \"b\", \"a/y\"]\n", "failover.replicas: a twice"},
+        {"replicas = [\"a\", \"b\", \"/x\"]\n", "failover.replicas: \"NAME/ZONE\" expected"},
+        {"replicas = \"a\"\n", "failover.replicas: a list of NAME/ZONE expected"},
+        {"replica = [\"a\"]\n", "failover.replica: not known; the nearest known name is failover.replicas"}}) {
+    CAPTURE(failover);
+    CHECK(fault(failover).find(key) != std::string::npos);
   }
-  CHECK(fault(three, false).find("takeover: needs [peers]") != std::string::npos);
+  CHECK(fault(three, false).find("failover: needs [peers]") != std::string::npos);
 }
 
 TEST_CASE("[overload] is off unless it is on, bounds further attempts, and each of its faults is named") {
@@ -163,9 +163,9 @@
   CHECK_FALSE(read("").overload.on);
   CHECK_FALSE(read("").settings.attempt_window.has_value());
   CHECK_FALSE(read("[overload]\non = false\n").settings.attempt_window.has_value());
-  Config on = read(peers + "[takeover]\n" + seats + "[overload]\non = true\n");
+  Config on = read(peers + "[failover]\nreplicas = [\"a/x\", \"b/y\", \"c\"]\n[overload]\non = true\n");
   CHECK(on.overload.on);
-  CHECK(on.overload.seats == on.takeover.seats);
+  CHECK(on.overload.seats == on.failover.replicas);
   CHECK(on.settings.attempt_window == std::chrono::seconds(10));
   CHECK(on.settings.free_resends == 0);
   CHECK(on.settings.extra_per_request == 0.1);
@@ -209,10 +209,10 @@
   const std::string seats = "seats = [\"a/x\", \"b/y\", \"c\"]\n", book = "book = \"" + good + "\"\n";
   CHECK(fault(book + seats) == "none");
   Config read =
-      ReadConfig({.toml = kSound + peers + "[takeover]\n" + seats + "[rations]\n" + book}, NoVariable);
+      ReadConfig({.toml = kSound + peers + "[failover]\nreplicas = [\"a/x\", \"b/y\", \"c\"]\n[rations]\n" + book}, NoVariable);
   REQUIRE(read.rations.table != nullptr);
   CHECK(read.rations.table->rations.size() == 1);
-  CHECK(read.rations.seats == read.takeover.seats);
+  CHECK(read.rations.seats == read.failover.replicas);
   CHECK(fault(book + "seats = [\"a/x@127.0.0.1:1\", \"b@127.0.0.1:2\", \"c\"]\n") == "none");
   for (const auto& [rations, key] :
        {std::pair<std::string, std::string>{seats, "rations.book: missing"},
--- a/tests/net/held_attempt_test.cpp
+++ b/tests/net/held_attempt_test.cpp
@@ -35,11 +35,11 @@
     return decision.Take(std::move(request), *this, 0).value();
   }
 
-  bool Covers(const Request&) const override { return true; }
+  bool Tracks(const Request&) const override { return true; }
   void Opened(RequestId, const Request&, Duration) override {}
   void Want(RequestId, const std::string&) override { ++wants; }
   void FlowEnded(RequestId, bool) override {}
-  void Finish(RequestId, takeover::End, std::string) override {}
+  void Finish(RequestId, failover::OperationOutcome, std::string) override {}
   void Left(RequestId) override { ++lefts; }  // nothing follows
 
   void Served(std::uint64_t, evbuffer*) override { ++answers; }
--- a/tests/orders/compat_town.cpp
+++ b/tests/orders/compat_town.cpp
@@ -30,12 +30,12 @@
   }
   for (const auto& version : first.subjects().at("s").versions) world->versions.push_back(version.schema);
   Message founding;
-  founding.kind = takeover::Kind::kAccept;
-  founding.work = "w";
+  founding.kind = failover::Kind::kAccept;
+  founding.operation = "w";
   founding.ballot = {1, {"founder", 1, 1}};
   founding.version = 1;
   founding.state.value = first.Bytes();
-  for (std::size_t s = 0; s < takeover::kSeats; ++s) {
+  for (std::size_t s = 0; s < failover::kReplicas; ++s) {
     Seat seat{Fresh(s, 1, true), 1, 0};
     seat.holder.Take({}, founding);
     seats_[s] = Of(std::move(seat));
@@ -79,10 +79,10 @@
   return [](Catalogue& it) { return it.Retire("s", "ann", 1, "eve", "gone"); };
 }
 
-takeover::Holder CompatTown::Fresh(std::size_t s, std::uint64_t life, bool found) const {
+failover::RecordReplica CompatTown::Fresh(std::size_t s, std::uint64_t life, bool found) const {
   if (setup().words == 0) return compat::RegisterSeat({}, found, {}, 0, {});
   return compat::RegisterSeat({}, found, NameOf(s), life, [](const std::string&) {
-    return std::array<std::string, takeover::kSeats>{NameOf(0), NameOf(1), NameOf(2)};
+    return std::array<std::string, failover::kReplicas>{NameOf(0), NameOf(1), NameOf(2)};
   });
 }
 
@@ -95,12 +95,12 @@
 
 CompatTown::ActorPtr CompatTown::Of(Actor actor) {
   std::string bytes{static_cast<char>(actor.tries)};
-  actor.change.claim().Put(bytes);
+  actor.change.record().Put(bytes);
   for (const auto& each : actor.change.answer().objections) bytes += each.Text();
   actor.print = Hash(bytes);
-  for (std::size_t s = 0; s < takeover::kSeats; ++s) {
+  for (std::size_t s = 0; s < failover::kReplicas; ++s) {
     bytes.clear();
-    actor.change.claim().Put(s, bytes);
+    actor.change.record().Put(s, bytes);
     actor.of_seat[s] = Hash(bytes);
   }
   return std::make_shared<const Actor>(std::move(actor));
@@ -108,13 +108,13 @@
 
 CompatTown::ParcelPtr CompatTown::ParcelOf(bool to_seat, std::size_t a, std::size_t s, Message message) {
   std::string bytes{to_seat ? 't' : 'o', static_cast<char>(a)};
-  takeover::Put(bytes, message);
+  failover::Put(bytes, message);
   return std::make_shared<const Parcel>(Parcel{to_seat, a, s, std::move(message), Hash(bytes)});
 }
 
 CompatTown::WordPtr CompatTown::WordOf(std::size_t from, std::size_t to, std::vector<Message> messages) {
   std::string bytes{'w', static_cast<char>(from), static_cast<char>(to)};
-  for (const Message& message : messages) takeover::Put(bytes, message);
+  for (const Message& message : messages) failover::Put(bytes, message);
   return std::make_shared<const Word>(Word{from, to, std::move(messages), Hash(bytes)});
 }
 
@@ -128,9 +128,9 @@
     if (twice_ > 0) events.push_back({What::kTwice, i, bag_[i]});
   }
   for (std::size_t a = 0; a < actors_.size(); ++a) {
-    auto phase = actors_[a]->change.claim().phase();
+    auto phase = actors_[a]->change.record().phase();
     if (actors_[a]->tries > 0 &&
-        (phase == takeover::Claim::Phase::kIdle || phase == takeover::Claim::Phase::kLost))
+        (phase == failover::RecordProposer::Phase::kIdle || phase == failover::RecordProposer::Phase::kLost))
       events.push_back({What::kBegins, a, {}});
   }
   for (std::size_t s = 0; s < seats_.size(); ++s) {
@@ -158,8 +158,8 @@
   }
   std::string a = "r" + std::to_string(parcel->actor), s = "seat " + std::to_string(parcel->seat);
   return (what == What::kTwice ? "twice: " : "") + (parcel->to_seat ? a + " -> " + s : s + " -> " + a) +
-         ": " + takeover::kKindNames[static_cast<int>(parcel->message.kind)] + " of " +
-         takeover::Text(parcel->message.ballot);
+         ": " + failover::kKindNames[static_cast<int>(parcel->message.kind)] + " of " +
+         failover::Text(parcel->message.ballot);
 }
 
 CompatTown CompatTown::After(const Event& event) const {
@@ -191,12 +191,12 @@
 
 CompatTown::Did CompatTown::DidOf(std::size_t a, const Parcel* parcel) const {
   Actor actor = *actors_[a];
-  std::vector<takeover::Claim::Out> out;
+  std::vector<failover::RecordProposer::Outgoing> out;
   Did did;
   auto take = [&](std::size_t seat) {
     auto verdict = actor.change.Take({}, seat, parcel->message, out);
     bool early = setup().mutant == CompatMutant::kJoinUnwritten && actor.role == Role::kReader &&
-                 actor.change.claim().phase() == takeover::Claim::Phase::kWriting;
+                 actor.change.record().phase() == failover::RecordProposer::Phase::kWriting;
     if ((verdict != Change::Verdict::kTell && !early) || !actor.change.answer().yes()) return;
     bool publishes = actor.role == Role::kPublisher || actor.role == Role::kOtherPublisher;
     did.told = std::make_shared<const std::string>(
@@ -210,7 +210,7 @@
     if (setup().mutant == CompatMutant::kOneSeat) take((parcel->seat + 1) % 3);
   }
   did.actor = Of(std::move(actor));
-  for (auto& one : out) did.posts.push_back(ParcelOf(true, a, one.seat, std::move(one.message)));
+  for (auto& one : out) did.posts.push_back(ParcelOf(true, a, one.replica, std::move(one.message)));
   return did;
 }
 
@@ -221,12 +221,12 @@
   for (const ParcelPtr& post : did->posts) Insert(post);
   // What it would pass over, now and ever, need not be delivered.
   std::erase_if(bag_, [&](const auto& one) {
-    return one->actor == a && !one->to_seat && !actors_[a]->change.claim().Waits(one->seat, one->message);
+    return one->actor == a && !one->to_seat && !actors_[a]->change.record().Waits(one->seat, one->message);
   });
 }
 
 void CompatTown::Insert(const ParcelPtr& parcel) {
-  if (!parcel->to_seat && !actors_[parcel->actor]->change.claim().Waits(parcel->seat, parcel->message))
+  if (!parcel->to_seat && !actors_[parcel->actor]->change.record().Waits(parcel->seat, parcel->message))
     return;
   auto before = [](const auto& one, const auto& other) {
     return std::tie(one->print, one->seat) < std::tie(other->print, other->seat);
@@ -249,7 +249,7 @@
   if (!parcel->to_seat) return Do(parcel->actor, parcel);
   auto answered = world_->answered.Of(seats_[parcel->seat], parcel, 0, [&] { return AnsweredOf(*parcel); });
   seats_[parcel->seat] = answered->seat;
-  if (parcel->message.kind == takeover::Kind::kAccept) Stands(parcel->seat);
+  if (parcel->message.kind == failover::Kind::kAccept) Stands(parcel->seat);
   Insert(answered->answer);
 }
 
@@ -262,19 +262,19 @@
 void CompatTown::AskWords(std::size_t s) {
   --words_left_;
   Seat seat = *seats_[s];
-  Message ask = seat.holder.AskWord();
+  Message ask = seat.holder.RequestSync();
   seats_[s] = Of(std::move(seat));
-  for (std::size_t other = 0; other < takeover::kSeats; ++other)
+  for (std::size_t other = 0; other < failover::kReplicas; ++other)
     if (other != s) words_.push_back(WordOf(s, other, {ask}));
 }
 
 CompatTown::Answered CompatTown::HeardOf(const Word& word) const {
   Seat seat = *seats_[word.to];
   Answered answered;
-  if (word.messages.front().kind == takeover::Kind::kAskWord) {
-    answered.word = WordOf(word.to, word.from, seat.holder.Word({}, word.messages.front()));
+  if (word.messages.front().kind == failover::Kind::kSyncRequest) {
+    answered.word = WordOf(word.to, word.from, seat.holder.AnswerSync({}, word.messages.front()));
   } else {
-    for (const Message& message : word.messages) seat.holder.TakeWord({}, NameOf(word.from), message);
+    for (const Message& message : word.messages) seat.holder.HandleSync({}, NameOf(word.from), message);
   }
   answered.seat = Of(std::move(seat));
   return answered;
@@ -326,18 +326,18 @@
 
 // What was told is in each state that stands later.
 void CompatTown::Stands(std::size_t s) {
-  auto slot = [&](std::size_t seat) -> const takeover::Holder::Slot* {
-    const auto& slots = seats_[seat]->holder.slots();
+  auto slot = [&](std::size_t seat) -> const failover::RecordReplica::StoredRecord* {
+    const auto& slots = seats_[seat]->holder.stored();
     return slots.empty() ? nullptr : &slots.begin()->second;
   };
   const auto* own = slot(s);
   if (own == nullptr || own->version == 0) return;
   std::size_t has = 0;
-  for (std::size_t other = 0; other < takeover::kSeats; ++other) {
+  for (std::size_t other = 0; other < failover::kReplicas; ++other) {
     const auto* at = slot(other);
     has += at != nullptr && at->kept == own->kept && at->version == own->version && !at->copied;
   }
-  if (has < takeover::kMajority) return;
+  if (has < failover::kMajority) return;
   const Stood& stood = StoodOf(own->state.value);
   std::vector<std::string> told = world_->versions;
   if (accepted()) told.push_back(*third_);
@@ -352,7 +352,7 @@
 // The three seats are alike: states that differ only in which is which have one print.
 std::uint64_t CompatTown::Print() const {
   std::vector<std::uint64_t> words;
-  std::array<std::uint64_t, takeover::kSeats> prints;
+  std::array<std::uint64_t, failover::kReplicas> prints;
   words.reserve(64);
   for (std::size_t s = 0; s < prints.size(); ++s) {
     words.assign(1, seats_[s]->print);
--- a/tests/orders/compat_town.h
+++ b/tests/orders/compat_town.h
@@ -44,7 +44,7 @@
 
 class CompatTown {
  public:
-  using Message = takeover::Message;
+  using Message = failover::Message;
   struct Parcel {
     bool to_seat;
     std::size_t actor, seat;
@@ -74,7 +74,7 @@
   enum Reader { kAnn, kBob, kCid, kReaders };
   static constexpr const char* kNames[] = {"ann", "bob", "cid"};
   struct Seat {
-    takeover::Holder holder;
+    failover::RecordReplica holder;
     std::uint64_t life;
     std::uint64_t print;
   };
@@ -84,7 +84,7 @@
     Change change;
     int tries;
     std::uint64_t print;
-    std::array<std::uint64_t, takeover::kSeats> of_seat{};
+    std::array<std::uint64_t, failover::kReplicas> of_seat{};
   };
   using ActorPtr = std::shared_ptr<const Actor>;
   struct Word {  // between seats
@@ -120,7 +120,7 @@
   const CompatSetup& setup() const { return world_->setup; }
   static std::string Record(const std::string& field, bool optional);
   Change::Command CommandOf(Role role) const;
-  takeover::Holder Fresh(std::size_t s, std::uint64_t life, bool found) const;
+  failover::RecordReplica Fresh(std::size_t s, std::uint64_t life, bool found) const;
   static SeatPtr Of(Seat seat);
   static ActorPtr Of(Actor actor);
   static ParcelPtr ParcelOf(bool to_seat, std::size_t a, std::size_t s, Message message);
@@ -145,7 +145,7 @@
 
   std::shared_ptr<const World> world_;
   int twice_, restarts_, words_left_;
-  std::array<SeatPtr, takeover::kSeats> seats_;
+  std::array<SeatPtr, failover::kReplicas> seats_;
   std::vector<ActorPtr> actors_;
   std::vector<ParcelPtr> bag_;  // in flight
   std::vector<WordPtr> words_;
--- a/tests/rations/fleet_world.h
+++ b/tests/rations/fleet_world.h
@@ -187,8 +187,8 @@
   };
 
   static std::string Name(std::size_t r) { return fmt::format("r{:03}", r); }
-  static std::vector<takeover::SeatName> Names(std::size_t routers) {
-    std::vector<takeover::SeatName> names;
+  static std::vector<failover::ReplicaName> Names(std::size_t routers) {
+    std::vector<failover::ReplicaName> names;
     for (std::size_t r = 0; r < routers; ++r) names.push_back({Name(r), r % 2 == 0 ? "east" : "west"});
     return names;
   }
@@ -274,7 +274,7 @@
   FleetSetup setup_;
   world::Agenda agenda_{1s};
   world::Random random_;
-  takeover::Seats seats_;
+  failover::ReplicaSet seats_;
   std::shared_ptr<const Table> table_;
   std::vector<std::unique_ptr<Process>> processes_;
   std::vector<std::size_t> serving_;
--- a/tests/rations/office_test.cpp
+++ b/tests/rations/office_test.cpp
@@ -97,7 +97,7 @@
   std::shared_ptr<const Table> table;
   std::vector<std::unique_ptr<Office>> offices;
   explicit Three(std::uint64_t print) : table(Book(print)) {
-    takeover::Seats seats({{"a", "x"}, {"b", "y"}, {"c", "z"}});
+    failover::ReplicaSet seats({{"a", "x"}, {"b", "y"}, {"c", "z"}});
     for (std::uint64_t i = 0; i < 3; ++i)
       offices.push_back(std::make_unique<Office>(OfficeOptions{}, seats, Name(i), i + 1, i, table, 0s,
                                                  [](const std::string&) { return true; }));
@@ -145,7 +145,7 @@
   Three at(1);
   OfficeOptions options;
   options.sits = false;
-  takeover::Seats seats({{"a", "x"}, {"b", "y"}, {"c", "z"}});
+  failover::ReplicaSet seats({{"a", "x"}, {"b", "y"}, {"c", "z"}});
   at.offices[0] = std::make_unique<Office>(options, seats, "a", 9, 9, at.table, 0s,
                                            [](const std::string&) { return true; });
   Message ask;
@@ -201,12 +201,12 @@
   words >> rate >> clients >> seats >> seconds >> on;
   double each = std::max(1.0, 15 * rate / static_cast<double>(clients));
   auto table = std::make_shared<const Table>(TableOf({Of({each, std::max(10.0, 2 * each)}, -1, kPerClient)}));
-  std::vector<takeover::SeatName> names;
+  std::vector<failover::ReplicaName> names;
   auto name = [](std::size_t i) { return "r" + std::to_string(i); };
   for (std::size_t i = 0; i < seats; ++i) names.push_back({name(i), "a"});
   std::vector<std::unique_ptr<Office>> offices;
   for (std::uint64_t i = 0; i < 5; ++i)
-    offices.push_back(std::make_unique<Office>(OfficeOptions{}, takeover::Seats(names), name(i), ~i << 8,
+    offices.push_back(std::make_unique<Office>(OfficeOptions{}, failover::ReplicaSet(names), name(i), ~i << 8,
                                                i + 1, table, 0s, [](const std::string&) { return true; }));
   std::deque<std::tuple<Time, std::size_t, std::string>> under_way;
   std::mt19937_64 random(3);
