--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -24,7 +24,8 @@
   if (line == "LEAVE") return operations.Leave() + "\n";
   if (line == "JOIN") return operations.Join() + "\n";
   if (line == "PEERS") return operations.Peers() + "\n";
-  if (line == "WORK") return operations.Work() + "\n";
+  if (line == "FAILOVER") return operations.Failover() + "\n";
+  if (line == "WORK") return "fail WORK was renamed to FAILOVER\n";  // to be taken out after two releases
   if (line == "DUMP") return operations.Figures() + "eof\n";
   return line.empty() ? "fail empty call\n" : "fail unknown call\n";
 }
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -29,8 +29,8 @@
   virtual std::string Figures() = 0;
   // What it knows of its fleet: a line of JSON, or one that begins with "fail".
   virtual std::string Peers() = 0;
-  // The work that it has in hand, and its seat in others' records; the same.
-  virtual std::string Work() = 0;
+  // Its open operations, and its replica of others' records; the same.
+  virtual std::string Failover() = 0;
 };
 
 // The answer to one line, its end included.
--- a/src/admin/ask.cpp
+++ b/src/admin/ask.cpp
@@ -70,11 +70,11 @@
   return table;
 }
 
-std::string WorkTable(const std::string& text) {
+std::string FailoverTable(const std::string& text) {
   nlohmann::json all = nlohmann::json::parse(text);
-  std::string table = fmt::format("{} seats", all.value("seats", nlohmann::json::array()).size());
+  std::string table = fmt::format("{} replicas", all.value("replicas", nlohmann::json::array()).size());
   for (const auto& [name, value] : all.items()) {
-    if (value.is_number()) table += fmt::format("\n{:<16} {:>12}", name, value.dump());
+    if (value.is_number()) table += fmt::format("\n{:<22} {:>12}", name, value.dump());
   }
   return table;
 }
--- a/src/admin/ask.h
+++ b/src/admin/ask.h
@@ -11,7 +11,7 @@
 // What PEERS answers, as a table for a terminal.
 std::string PeersTable(const std::string& json);
 
-// What WORK answers, a line a figure.
-std::string WorkTable(const std::string& json);
+// What FAILOVER answers, a line a figure.
+std::string FailoverTable(const std::string& json);
 
 }  // namespace peatbend::net
--- a/src/base/msgpack_fields.h
+++ b/src/base/msgpack_fields.h
@@ -94,19 +94,19 @@
   bool fine_;
 };
 
-// Reads [seats, [one, ...]], each one by `read`. `all` is whole where there is no error, else empty.
+// Reads [replica set, [one, ...]], each one by `read`. `all` is whole where there is no error, else empty.
 template <typename One, typename Read>
-DecodeError ReadEnvelope(std::string_view bytes, int deepest, std::uint64_t seats, std::size_t most,
+DecodeError ReadEnvelope(std::string_view bytes, int deepest, std::uint64_t replica_set, std::size_t most,
                          std::vector<One>& all, Read read) {
   all.clear();
   nlohmann::json array = Unpack(bytes, deepest);
   if (array.is_discarded()) return DecodeError::kMalformed;
   FieldReader fields(array);
-  std::uint64_t its_seats = 0;
-  const nlohmann::json* ones = fields.Number(its_seats, kAny).Next();
+  std::uint64_t its_set = 0;
+  const nlohmann::json* ones = fields.Number(its_set, kAny).Next();
   if (!fields.fine() || ones == nullptr || !ones->is_array() || ones->size() > most)
     return DecodeError::kMalformed;
-  if (its_seats != seats) return DecodeError::kReplicaSet;
+  if (its_set != replica_set) return DecodeError::kReplicaSet;
   for (const nlohmann::json& one : *ones) {
     if (read(one, all.emplace_back())) continue;
     all.clear();
--- a/src/compat/register.h
+++ b/src/compat/register.h
@@ -1,5 +1,5 @@
-// The catalogue as a register at three seats, read and replaced by compare and set: takeover's RecordProposer and
-// RecordReplica as they are, without steps and ends. What is accepted is accepted once for the whole fleet, also in
+// The catalogue as a register at three seats, read and replaced by compare and set: failover's RecordProposer
+// and RecordReplica as they are, without attempts and outcomes. What is accepted is accepted once for the whole fleet, also in
 // two halves. Free of I/O and clocks; the caller carries messages and decides when to begin anew.
 #pragma once
 
@@ -18,8 +18,8 @@
 constexpr failover::Span kForEver = std::chrono::hours(24 * 365 * 100);
 
 // A seat of registers. `found`: by an operator's word, once, when the register is new: it votes at once, as
-// one that has forgotten nothing. Otherwise it votes with both the others' words (RecordReplica::RequestSync). A seat
-// that is started again as if it were new forgets what was accepted.
+// one that has forgotten nothing. Otherwise it votes after both the others' state transfers
+// (RecordReplica::RequestSync). A seat that is started again as if it were new forgets what was accepted.
 failover::RecordReplica RegisterSeat(failover::Time now, bool found, std::string self, std::uint64_t life,
                               failover::RecordReplica::ReplicasFor replicas_for, std::size_t bytes = 4u << 20);
 
--- a/src/compat/wire.h
+++ b/src/compat/wire.h
@@ -17,7 +17,7 @@
 constexpr std::size_t kMostChunk = 512u << 10;
 
 enum class SayKind : std::uint8_t {
-  kRegister,      // bytes: takeover's message, to a seat or from one
+  kRegister,      // bytes: failover's message, to a seat or from one
   kAskFound,      // number: the asker's founding
   kFound,         // the same number: this seat knows of no other founding of the asker's
   kNotFound,      // it does
@@ -35,7 +35,7 @@
   std::string bytes;
 };
 
-// `seats`: takeover::Seats::print() of the sender; who reckons with other seats is not listened to.
+// `seats`: failover::ReplicaSet::print() of the sender; who reckons with other seats is not listened to.
 std::string Encode(std::uint64_t seats, const Say& say);
 using net::DecodeError;
 // Reads what a stranger may have written. Never throws.
--- a/src/config/file.h
+++ b/src/config/file.h
@@ -15,7 +15,7 @@
   net::Tuning tuning;
   nlohmann::json router;      // name, listen, discovery, seed, limits: as in the platform's JSON
   nlohmann::json peers;       // fleet, listen, advertise, seeds; null where the file has none
-  nlohmann::json failover;    // seats, alone; null where the file has none
+  nlohmann::json failover;    // replicas, no_quorum; null where the file has none
   nlohmann::json rations;     // book, seats, reads; null where the file has none
   nlohmann::json publications;  // seats, folder, found; null where the file has none
   nlohmann::json overload;    // on, seats; null where the file has none
--- a/src/config/keys.cpp
+++ b/src/config/keys.cpp
@@ -82,6 +82,12 @@
 constexpr RenamedKey kRenamed[] = {
     {"pool.silence_ms", "discovery.silence_ms"},
     {"pool.line_kb", "discovery.list_kb"},
+    {"takeover.seats", "failover.replicas"},
+    {"takeover.alone", "failover.no_quorum"},
+    {"takeover.send_within_ms", "failover.send_permit_ms"},
+    {"takeover.stands_within_ms", "failover.commit_timeout_ms"},
+    {"takeover.ends_within_ms", "failover.outcome_timeout_ms"},
+    {"takeover.linger_ms", "failover.retain_ms"},
 };
 
 constexpr std::string_view kDeployment[] = {"classes.*.name",
--- a/src/failover/operation_ownership.cpp
+++ b/src/failover/operation_ownership.cpp
@@ -13,7 +13,7 @@
   return age + unsure < cls.window ? RecoveryAction::kRetry : RecoveryAction::kFail;
 }
 
-// What stands, with what this process knows of its own attempts: one that was neither permitted nor is wanted
+// What is committed, with what this process knows of its own attempts: one that was neither permitted nor is wanted
 // now has not run, and will not.
 RecordState OperationOwnership::Known() const {
   RecordState known = record_.state();
--- a/src/failover/operation_ownership.h
+++ b/src/failover/operation_ownership.h
@@ -1,6 +1,6 @@
-// One router's side of one operation: nothing is sent and no outcome told before the record of it stands.
-// What is to be sent, whether again, and with what it ends, is decided elsewhere; here is only whether it may
-// happen. Free of I/O and clocks; one owner, one thread.
+// One router's side of one operation: nothing is sent and no outcome is answered before the record of it is
+// committed. What is to be sent, whether again, and with what outcome, is decided elsewhere; here is only whether
+// it may happen. Free of I/O and clocks; one owner, one thread.
 #pragma once
 
 #include <set>
@@ -12,7 +12,7 @@
 
 namespace peatbend::failover {
 
-// What may be done with operation that was read, by what its record proves.
+// What may be done with an operation that was read, by what its record proves.
 enum class RecoveryAction {
   kSend,    // nothing has run
   kRetry,   // something may have run, and may be repeated: at servers that the class names
@@ -24,23 +24,24 @@
 // than recorded, an attempt may have been sent.
 RecoveryAction NextAction(const RecordState& state, const ClassSettings& cls, Span age, Span unsure);
 
+// What an answer of a replica leads to.
 enum class OwnershipResult {
   kNothing,
-  kSend,  // the attempt that was asked for stands: send it now, from within this call's turn
-  kExpired,  // it stands, but too long after it was asked for: decide anew, as after kRead
-  kAnswer,  // the outcome stands: state() is what everybody is told
+  kSend,  // the attempt that was asked for is committed: send it now, from within this call
+  kExpired,  // it is committed, but too long after it was asked for: decide again, as after kRead
+  kAnswer,  // the outcome is committed: state() is what everybody is answered
   kRead,  // the operation is this one's to go on with, once it writes: see state()
-  kLost   // refused, or no majority to be had: see preempted()
+  kLost   // nacks, so that no majority is to be had: see preempted()
 };
 
 class OperationOwnership {
  public:
-  // `send_permit`: a permission that comes later than this after it was asked for is asked for anew, so that
+  // `send_permit`: a permission that comes later than this after it was asked for is asked for again, so that
   // a process that stood still, or was cut off, sends nothing on the strength of old knowledge.
   OperationOwnership(std::string operation, Proposer proposer, Span send_permit)
       : record_(std::move(operation), std::move(proposer)), send_permit_(send_permit) {}
 
-  // An attempt at that server is wanted: on operation that is new, or after kRead, or after an outcome. Nothing
+  // An attempt at that server is wanted: on an operation that is new, or after kRead, or after an outcome. Nothing
   // happens where the operation has ended.
   void Want(Time now, const std::string& server, std::vector<RecordProposer::Outgoing>& out);
   // The attempt that was permitted last turned out to never have run.
@@ -58,13 +59,13 @@
 
   const RecordProposer& record() const { return record_; }
   const RecordState& state() const { return record_.state(); }
-  // What stands, with what this process knows of its own attempts beyond it.
+  // What is committed, with what this process knows of its own attempts beyond it.
   RecordState Known() const;
   // Whether an attempt may have run, as far as is known here: the one that is wanted now has not.
   bool MayHaveRun() const;
   bool preempted() const { return record_.preempted(); }
   bool RanElsewhere() const;  // by others, or may have
-  // The outcome that is wanted; and whether the one that stands is this.
+  // The outcome that is wanted; and whether the committed one is this.
   OperationOutcome outcome() const { return outcome_; }
   const std::string& value() const { return value_; }
   bool own_outcome() const { return own_outcome_; }
--- a/src/failover/ownership_manager.cpp
+++ b/src/failover/ownership_manager.cpp
@@ -7,10 +7,10 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::uint64_t kReaderBit = std::uint64_t{1} << 63;  // in the proposal of one who only looks
+constexpr std::uint64_t kReaderBit = std::uint64_t{1} << 63;  // in the proposal of one that only reads
 constexpr Span kForgetEvery = 1s, kAfterDeadline = 1s, kLeast = 10ms;
 
-// So that two who want the same operation do not try in attempt for ever.
+// So that two who want the same operation do not try in step for ever.
 Span Apart(std::uint64_t life, std::uint64_t proposal) {
   return ((life ^ proposal * 0x9e3779b97f4a7c15u) >> 20) % 20 * 1ms;
 }
@@ -25,13 +25,7 @@
       life_(life),
       has_ended_(std::move(has_ended)),
       replica_(options.limits, now, self_, life,
-              [this](const std::string& operation) {
-                std::array<std::string, kReplicas> names;
-                auto places = replica_set_.ReplicasFor(operation);
-                for (std::size_t replica = 0; replica < kReplicas; ++replica)
-                  names[replica] = replica_set_.all()[places[replica]].router;
-                return names;
-              }),
+               [this](const std::string& operation) { return replica_set_.NamesFor(operation); }),
       forget_at_(now + kForgetEvery),
       sync_at_(now) {
   syncing_ = std::ranges::find(replica_set_.all(), self_, &ReplicaName::router) != replica_set_.all().end();
--- a/src/failover/ownership_manager.h
+++ b/src/failover/ownership_manager.h
@@ -1,11 +1,12 @@
-// All the operation that one router has in hand, and its replica in the records of others. Decides when to ask again,
-// when to wait for another, when to take over and when to give up; whether that may happen is OperationOwnership's. Free
-// of I/O and clocks; one owner, one thread. What is to be sent to replicas and said to the router is gathered
-// until it is taken.
+// All operations that one router has open, and its replica of the records of others. Decides when to ask again,
+// when to wait for another, when to take over and when to give up; whether that may happen is
+// OperationOwnership's. Free of I/O and clocks; one owner, one thread. What is to be sent to replicas and
+// reported to the router is gathered until it is drained.
 //
-//   fresh --Want--> asked --committed--> out (an attempt may run) --Finish--> ending --committed--> said
-//   asked --another has it--> watching --its outcome committed--> said
-//   watching --its owner is gone, or has let proposal--> asked
+//   new --Want--> proposed --committed--> sent (an attempt may run)
+//   sent --Finish--> finishing --committed--> closed
+//   proposed --another has it--> watching --its outcome is committed--> closed
+//   watching --its owner has ended, or has released it--> taking over --its record is read--> proposed
 #pragma once
 
 #include <array>
@@ -26,12 +27,12 @@
 
 struct OwnershipOptions {
   Span send_permit = std::chrono::milliseconds{200};
-  Span commit_timeout = std::chrono::milliseconds{250};  // a record; else the router is no_quorum
+  Span commit_timeout = std::chrono::milliseconds{250};  // of a record; else there is no quorum
   Span outcome_timeout = std::chrono::milliseconds{500};    // the record of an outcome
   Span retry_every = std::chrono::milliseconds{40}, read_every = std::chrono::milliseconds{50};
-  Span sync_every = std::chrono::milliseconds{200};  // asked for after a start
+  Span sync_every = std::chrono::milliseconds{200};  // state transfers are asked for, after a start
   Span margin = std::chrono::milliseconds{15};        // before the deadline, for the answer's way
-  bool serve_untracked = false;             // else new operation is rejected where no majority can be had
+  bool serve_untracked = false;             // else new operations are rejected where no majority can be had
   std::size_t value_bytes = 16u << 10;  // of an outcome that is kept
   RecordLimits limits;
 };
@@ -60,21 +61,21 @@
   };
 
   // `life`: of this process, higher than any that the fleet knows of its name; 0 while that is not sure, and
-  // then no record is asked and no word. It may move on. `has_ended`: whether that process is known to be no more;
-  // only says when to try.
+  // then neither a record nor a state transfer is asked for. It may move on. `has_ended`: whether that process
+  // is known to be no more; only says when to try.
   OwnershipManager(OwnershipOptions options, ReplicaSet replica_set, std::string self, std::uint64_t life, Time now,
        std::function<bool(const Proposer&)> has_ended);
 
   void SetLife(std::uint64_t life);
-  // No replica can be reached from now on: who waits for a word is given it untracked. Nothing is asked after
-  // it.
+  // No replica can be reached from now on: operations that wait for a permission go on untracked. Nothing is
+  // asked after it.
   void ContinueUntracked(Time now);
   void Open(Time now, Number number, std::string operation, const ClassSettings& cls, Time deadline);
-  // An attempt at that server is wanted: Result::kSend, or an outcome, follows.
+  // An attempt at that server is wanted: What::kSend, or an outcome, follows.
   void Want(Time now, Number number, const std::string& server);
   // The attempt that was sent last has ended, without a value.
   void Ended(Time now, Number number, bool may_have_run);
-  // The outcome is wanted; Result::kOutcome follows, which may be another.
+  // The outcome is wanted; What::kOutcome follows, which may be another.
   void Finish(Time now, Number number, OperationOutcome outcome, std::string value = {});
   // Nobody waits any more. Nothing is said after it.
   void Left(Time now, Number number);
@@ -114,7 +115,7 @@
   PendingOperation* Find(Number number);
   bool Over(Time now, const PendingOperation& pending) const { return now >= pending.deadline - options_.margin; }
   void SetDue(PendingOperation& pending, Time due);
-  // The same, and in time for its last word.
+  // The same, and in time for its last result.
   void SetNext(Time now, PendingOperation& pending, Span in);
   void Post(const PendingOperation& pending, std::vector<RecordProposer::Outgoing> out);
   // Hands what is for the own replica to it, and its answers on.
@@ -133,7 +134,7 @@
   void TakeOver(Time now, PendingOperation& pending);
   void NoQuorum(Time now, PendingOperation& pending);
   void Answer(Time now, PendingOperation& pending, const RecordState& state);
-  // The last word on it; the pending is gone then.
+  // The last result of it; the operation is no longer pending then.
   void Close(Time now, PendingOperation& pending, OperationOutcome outcome, std::string value, bool no_quorum = false, bool committed = false);
 
   OwnershipOptions options_;
@@ -144,9 +145,9 @@
   RecordReplica replica_;
   PendingOperations pending_;
   std::map<Number, std::uint64_t> proposals_;
-  std::set<std::pair<Time, std::uint64_t>> due_;  // a pending's time, and its proposal
+  std::set<std::pair<Time, std::uint64_t>> due_;  // an operation's time, and its proposal
   std::uint64_t last_proposal_ = 0;
-  bool syncing_ = false;  // for the others' word: after a start, if this is a replica
+  bool syncing_ = false;  // asks for state transfers: after a start, if this is a replica
   Time forget_at_, sync_at_;
   std::vector<Outgoing> out_, local_;
   std::vector<Result> results_;
--- a/src/failover/record.cpp
+++ b/src/failover/record.cpp
@@ -24,7 +24,7 @@
 std::string Text(const RecordState& state) {
   std::string text = kOutcomeNames[static_cast<int>(state.outcome)];
   if (!state.value.empty()) text += " " + state.value;
-  if (state.released) text += " let go";
+  if (state.released) text += " released";
   for (const AttemptRecord& attempt : state.attempts) {
     text += fmt::format(", {} #{} at {}{}", Name(attempt.by), attempt.number, attempt.server,
                         attempt.may_have_run ? "" : " (never ran)");
--- a/src/failover/record.h
+++ b/src/failover/record.h
@@ -1,5 +1,5 @@
-// What the holders of an operation keep of it, and what they and its owners say to each other. Free of
-// I/O and clocks. docs/design/failover.md has the argument.
+// What the replicas of an operation's record store, and the messages between them and its owners. Free of I/O
+// and clocks. docs/design/failover.md has the argument.
 #pragma once
 
 #include <array>
@@ -14,7 +14,7 @@
 using Span = std::chrono::nanoseconds;
 using Time = std::chrono::nanoseconds;  // on a clock that goes on while the process stands still
 
-// One process's one go at one operation.
+// One proposal of one process on one operation.
 struct Proposer {
   std::string name;
   std::uint64_t life = 0;  // of the process; another with each start
@@ -22,8 +22,8 @@
   auto operator<=>(const Proposer&) const = default;
 };
 
-// Who may write. Round 0 is for operation that nobody has written yet, and needs no promise; a higher round needs
-// the promises of a majority. No two authors have one ballot.
+// Who may write. Round 0 is for an operation that nobody has written yet, and needs no promise; a higher round
+// needs the promises of a majority. No two proposers have the same ballot.
 struct Ballot {
   std::uint64_t round = 0;
   Proposer proposer;
@@ -53,8 +53,8 @@
   bool final() const { return outcome == OperationOutcome::kValue || outcome == OperationOutcome::kFailed; }
 };
 
-// RecordReader and seen: what a replica keeps, without a promise. Ask-word, word, copy: a replica that has started anew
-// asks another for its word, which is one message and a copy of each record that both keep.
+// Read, read-result: what a replica stores, without a promise. Sync-request, sync-done, sync-record: the state
+// transfer to a replica that has restarted, which is one message and a copy of each record that both store.
 enum class Kind : std::uint8_t {
   kPrepare,
   kAccept,
@@ -78,27 +78,30 @@
 };
 constexpr const char* kNackNames[] = {"none", "preempted", "recovering", "full"};
 
-// So many replicas keep each record.
+// So many replicas store each record.
 constexpr std::size_t kReplicas = 3, kMajority = 2;
 
-// The lives of an operation's replicas, as the one who answers knows them: its own, and those that have asked it for
-// its word.
+// The lives of an operation's replicas, as the one that answers knows them: its own, and those that have asked
+// it for a state transfer.
 using Lives = std::array<std::uint64_t, kReplicas>;
 
 struct Message {
   Kind kind = Kind::kPrepare;
   std::string operation;
   Ballot ballot;  // of the one who asks, also in the answer
-  // accept: what is to be kept. promise, seen: what was kept last, if anything.
+  // accept: what is to be stored. promise, read-result: what was stored last, if anything.
   Ballot kept;
-  std::uint32_t version = 0;  // of the writes under one ballot; 0: nothing is kept
+  std::uint32_t version = 0;  // of the writes under one ballot; 0: nothing is stored
   RecordState state;
-  Span age{};  // accept, promise, seen: since the first attempt was recorded, at the least; zero without an attempt
+  // accept, promise, read-result: since the first attempt was recorded, at the least; zero without an attempt.
+  Span age{};
   Nack nack = Nack::kNone;
-  Ballot promised;      // refused: what stands against it. copy: what was promised
-  Lives lives{};        // promise, accepted, seen
-  bool copied = false;  // seen: it has this by the word of another, and has not been asked to accept it
-  std::vector<std::string> syncs;  // word: for the operations of these, beside the two who speak; "*": for all
+  Ballot promised;      // nack: the ballot against it. sync-record: what was promised
+  Lives lives{};        // promise, accepted, read-result
+  // read-result: the replica has this by a state transfer, and has not been asked to accept it.
+  bool copied = false;
+  // sync-done: complete for the operations of these, beside the sender and the receiver; "*": for all.
+  std::vector<std::string> syncs;
   bool operator==(const Message&) const = default;
 };
 
@@ -114,9 +117,10 @@
 void Put(std::string& into, const RecordState& state);
 void Put(std::string& into, const Message& message);
 
-// Of two states under round 0, one of which at most stands, nobody can tell which: the attempts of both, since
-// what each was about to do may be done. Of their ends the one that was made by a value counts first, since
-// only whose attempt stood can have one; a reject counts for nothing, since the other may have sent.
+// The union of two states under round 0, one of which at most is committed, and nobody can tell which: the
+// attempts of both, since what each was about to do may be done. Of their outcomes a value counts first, since
+// only a proposer whose attempt was committed can have one; a reject counts for nothing, since the other may have
+// sent.
 RecordState MergeConcurrent(const RecordState& one, const RecordState& other);
 // Two replicas' answers count together only if neither has met a later life of the other.
 inline bool Agree(std::size_t one, const Lives& of_one, std::size_t other, const Lives& of_other) {
--- a/src/failover/record_proposer.h
+++ b/src/failover/record_proposer.h
@@ -1,10 +1,11 @@
-// One process's go at one operation: it writes the record at a majority of the replicas before anything is
-// sent or told, and learns when another has taken the operation over. Whether to try, and when, is the caller's:
-// the argument rests on none of it. ReplicaSet are numbered from 0; the caller carries messages to them.
+// One process's proposals on the record of one operation: it writes the record at a majority of the replicas
+// before anything is sent or answered, and learns when another has taken the operation over. Whether to try, and
+// when, is the caller's: the argument rests on none of it. Replicas are numbered from 0; the caller carries
+// messages to them.
 //
-//   idle --Write--> writing --majority--> holding --Write--> writing ...
-//   idle, lost --Ask--> asking --majority--> read --Write--> writing
-//   writing, asking --refused by so many that no majority is left--> lost
+//   idle --Write--> writing --majority--> owner --Write--> writing ...
+//   idle, lost --Ask--> preparing --majority--> read --Write--> writing
+//   writing, preparing --nacks of so many that no majority is left--> lost
 #pragma once
 
 #include <algorithm>
@@ -29,8 +30,8 @@
 
   // Asks for the promises of a higher round than any that it has met.
   void Ask(Time now, std::vector<Outgoing>& out);
-  // Of operation that this process knows nothing of; after holding or read; or in place of a write that does not
-  // come to stand. `next` is built upon state(). An attempt that is left out of `next` must not be sent any more.
+  // For an operation that this process knows nothing of; as owner or after read; or in place of a write that is
+  // not committed. `next` is built upon state(). An attempt that is left out of `next` must not be sent any more.
   void Write(Time now, RecordState next, std::vector<Outgoing>& out);
   // What it asks for next is above that ballot, as if it had met it.
   void Above(const Ballot& met) { met_ = std::max(met_, met); }
@@ -43,16 +44,17 @@
   const RecordState& state() const { return state_; }
   const std::string& operation() const { return operation_; }
   const Proposer& proposer() const { return proposer_; }
-  // Holding: since it asked for what now stands. Who is about to send and finds this too long asks anew.
+  // As owner: since it asked for what is now committed. Who is about to send and finds this too long asks again.
   Span since(Time now) const { return now - asked_; }
   // Since the first attempt was recorded, never less than that: what a window is counted by.
   Span age(Time now) const { return state_.attempts.empty() ? Span{} : now - first_; }
-  // Lost: whom the operation belongs to, as far as is known; and whether replicas were only full, recovering or silent.
+  // Lost: whom the operation belongs to, as far as is known; and whether another has it, or replicas were only
+  // full, recovering or silent.
   const Ballot& met() const { return met_; }
   bool preempted() const { return preempted_; }
   // Whether an answer of that replica could change anything, now or later.
   bool Waits(std::size_t replica, const Message& answer) const;
-  // All that what it does next hangs on, without and then for one replica; see Put of a state.
+  // All that its next actions depend on, without and then for one replica; see Put of a state.
   void Put(std::string& into) const;
   void Put(std::size_t replica, std::string& into) const;
 
--- a/src/failover/record_reader.h
+++ b/src/failover/record_reader.h
@@ -1,5 +1,5 @@
-// Looks at a record without taking part: asks nobody for a promise, so it hinders nobody. For who waits for
-// operation that another has in hand.
+// Reads a record without taking part: asks nobody for a promise, so it hinders nobody. For a router that waits for
+// an operation that another has.
 #pragma once
 
 #include <array>
@@ -16,18 +16,18 @@
   // `proposer` tells one reader from another: of one process, no two have the same.
   RecordReader(std::string operation, Proposer proposer) : operation_(std::move(operation)), proposer_(std::move(proposer)) {}
 
-  // Asks all replicas; what they said before is forgotten.
+  // Asks all replicas; what they answered before is forgotten.
   void Ask(std::vector<RecordProposer::Outgoing>& out);
   void Take(std::size_t replica, const Message& answer);
   bool Waits(std::size_t replica, const Message& answer) const;
 
-  // The outcome, if it stands: two replicas keep one that is final, under one ballot. Such a state is never
-  // replaced.
+  // The outcome, if it is committed: two replicas store one that is final, under one ballot. Such a state is
+  // never replaced.
   const RecordState* Outcome() const;
-  // Whose operation it is, as far as two replicas have told; nothing where they know of none, or have not told.
+  // Whose operation it is, as far as two replicas have answered; nothing where they know of none, or have not.
   std::optional<Proposer> Owner() const;
   bool Released() const;  // by that owner
-  // Two replicas have told, and neither knows of such operation, or it was rejected: it may be begun anew.
+  // Two replicas have answered, and neither knows of such an operation, or it was rejected: it may begin again.
   bool Free() const;
 
  private:
--- a/src/failover/record_replica.cpp
+++ b/src/failover/record_replica.cpp
@@ -52,7 +52,7 @@
   if (!fresh) {
     const StoredRecord& record = at->second;
     const Ballot& highest = std::max(record.promised, record.kept);
-    // Under round 0 nobody was promised anything: only the one who wrote first may go on.
+    // Under round 0 nobody was promised anything: only the proposer that wrote first may go on.
     bool own = record.version > 0 && record.kept == asked.ballot && record.promised.round == 0;
     bool may = asked.ballot.round == 0 ? own : asked.ballot >= highest;
     if (!may) return MakeNack(asked, Nack::kPreempted, highest);
@@ -71,7 +71,7 @@
     if (fresh) bytes_ += after;
     return ReplyWithState(now, Kind::kPromise, asked, record);
   }
-  // A write that comes again, or late, after a later one of the same ballot: it stands, since that one was
+  // A write that comes again, or late, after a later one of the same ballot: it counts, since that one was
   // built upon it.
   bool newer = record.version == 0 || record.kept != asked.ballot || record.version < asked.version;
   if (newer) {
@@ -90,7 +90,7 @@
   return answer;
 }
 
-// ---- Starting anew ------------------------------------------------------------------------------------
+// ---- State transfer -----------------------------------------------------------------------------------
 
 bool RecordReplica::HasSynced(const std::string& who, const std::string& third) const {
   auto at = synced_.find(who);
@@ -168,7 +168,7 @@
   }
   if (!incoming.done || incoming.records.size() < incoming.done->version) return;
   for (const auto& [operation, copy] : incoming.records) {
-    // Where it votes already it has both words, and has moved on.
+    // Where it votes already both transfers are complete, and it has moved on.
     if (!Votes(now, operation)) Merge(now, copy);
   }
   auto& synced = synced_[from];
--- a/src/failover/replica_set.cpp
+++ b/src/failover/replica_set.cpp
@@ -60,4 +60,11 @@
   return chosen;
 }
 
+std::array<std::string, kReplicas> ReplicaSet::NamesFor(const std::string& operation) const {
+  std::array<std::string, kReplicas> names;
+  auto places = ReplicasFor(operation);
+  for (std::size_t replica = 0; replica < kReplicas; ++replica) names[replica] = all_[places[replica]].router;
+  return names;
+}
+
 }  // namespace peatbend::failover
--- a/src/failover/replica_set.h
+++ b/src/failover/replica_set.h
@@ -1,4 +1,4 @@
-// Which three replicas keep the record of an operation: the highest by rendezvous hashing, in different zones
+// Which three replicas store the record of an operation: the highest by rendezvous hashing, in different zones
 // where there are as many. A function of the settings alone, so that all routers find the same ones whatever
 // they believe of each other.
 #pragma once
@@ -26,8 +26,9 @@
   static ReplicaSet Parse(const std::vector<std::string>& lines);
   // Throws std::invalid_argument: three at the least are needed, and no name twice.
   explicit ReplicaSet(std::vector<ReplicaName> all);
-  // Indices into all(), in the order in which they are to go on with the operation when its owner is gone.
+  // Indices into all(), in the order in which they are to go on with the operation when its owner has ended.
   std::array<std::size_t, kReplicas> ReplicasFor(const std::string& operation) const;
+  std::array<std::string, kReplicas> NamesFor(const std::string& operation) const;
   const std::vector<ReplicaName>& all() const { return all_; }
   // Equal for equal settings: who states another is not to be listened to.
   std::uint64_t print() const { return print_; }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -113,18 +113,22 @@
   std::string at;
   bool as_json = false;
   auto* peers = app.add_subcommand("peers", "show what a running router sees of its fleet");
-  auto* work = app.add_subcommand("work", "show the work that a running router keeps with others");
-  for (auto* command : {peers, work}) {
+  auto* failover = app.add_subcommand("failover", "show the operations that a running router records with others");
+  // To be taken out after two releases.
+  app.add_subcommand("work", "renamed to failover")->group("")->allow_extras()->callback([] {
+    throw CLI::ParseError("work: renamed to failover", CLI::ExitCodes::ExtrasError);
+  });
+  for (auto* command : {peers, failover}) {
     command->add_option("--at", at, "its operators' address; else as configured")->type_name("ADDRESS:PORT");
     command->add_flag("--json", as_json, "as one JSON object");
   }
   auto* version = app.add_subcommand("version", "print the version");
-  for (auto* command : {serve, check, peers, work, version}) command->fallthrough();
+  for (auto* command : {serve, check, peers, failover, version}) command->fallthrough();
   CLI11_PARSE(app, argc, argv);
   try {
     if (*version) return std::printf("peatbend %s\n", PEATBEND_VERSION) < 0 ? 1 : 0;
     if (*peers) return Show("PEERS", peatbend::net::PeersTable, own, at, as_json);
-    if (*work) return Show("WORK", peatbend::net::WorkTable, own, at, as_json);
+    if (*failover) return Show("FAILOVER", peatbend::net::FailoverTable, own, at, as_json);
     return *check ? Check(own, file) : Serve(own);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "peatbend: %s\n", error.what());
--- a/src/router/figures.cpp
+++ b/src/router/figures.cpp
@@ -10,14 +10,14 @@
 void Router::PrintCounters() {
   log_.Metrics("counters", Describe(counters_));
   if (peers_) log_.Metrics("peers counters", peers_->Figures());
-  if (work_) log_.Metrics("work counters", work_->Figures());
+  if (work_) log_.Metrics("failover counters", work_->Figures());
   if (rations_) log_.Metrics("rations counters", rations_->Figures());
   if (publications_) log_.Metrics("publications counters", publications_->Figures());
   if (schemas_) log_.Metrics("payloads counters", schemas_->Figures());
   if (overload_) log_.Metrics("overload counters", overload_->Figures());
 }
 
-std::string Router::Work() { return work_ ? work_->Describe() : "fail failover is off"; }
+std::string Router::Failover() { return work_ ? work_->Describe() : "fail failover is off"; }
 
 std::string Router::Peers() { return peers_ ? peers_->Describe() : "fail peers are off"; }
 
@@ -45,7 +45,7 @@
     for (const auto& [name, value] : of->Figures()) add(prefix + name, value);
   };
   part("peers.", peers_);
-  part("work.", work_);
+  part("failover.", work_);
   part("rations.", rations_);
   part("publications.", publications_);
   part("payloads.", schemas_);
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -56,7 +56,7 @@
   std::string Join() override;
   std::string Figures() override;
   std::string Peers() override;
-  std::string Work() override;
+  std::string Failover() override;
 
  private:
   Duration LongestDeadline() const;
--- a/src/router/work_in_hand.cpp
+++ b/src/router/work_in_hand.cpp
@@ -7,15 +7,15 @@
 #include <map>
 #include <nlohmann/json.hpp>
 
-#include "protocol/facts.h"
 #include "failover/wire.h"
+#include "protocol/facts.h"
 
 namespace peatbend::net {
 namespace {
 
 constexpr std::chrono::milliseconds kAloneComeBack{250};
-// Bytes: a few messages together fit a datagram; copies for one who has started anew go by one stream.
-constexpr std::size_t kMostParcel = 1000, kMostCopies = 512u << 10;
+// Bytes: a few messages together fit a datagram; the records of a state transfer go by one stream.
+constexpr std::size_t kMostParcel = 1000, kMostSyncBytes = 512u << 10;
 
 failover::OwnershipOptions OptionsOf(const Config& config) {
   failover::OwnershipOptions options;
@@ -38,20 +38,23 @@
       peers_(peers),
       decision_(decision),
       log_(log),
-      manager_(OptionsOf(config), failover::ReplicaSet::Parse(config.failover.replicas), config.name, peers.life(), peers::Peers::Now(),
-            [this](const failover::Proposer& proposer) { return peers_.Gone(proposer.name, proposer.life); }),
+      manager_(
+          OptionsOf(config), failover::ReplicaSet::Parse(config.failover.replicas), config.name, peers.life(),
+          peers::Peers::Now(),
+          [this](const failover::Proposer& proposer) { return peers_.Gone(proposer.name, proposer.life); }),
       tick_(base, [this] {
         manager_.SetLife(peers_.life());
         manager_.Tick(peers::Peers::Now());
         Flush();
       }) {
-  peers_.OnCargo(peers::Peers::Lane::kWork, [this](const std::string& from, const std::string& bytes) { Arrived(from, bytes); });
+  peers_.OnCargo(peers::Peers::Lane::kWork,
+                 [this](const std::string& from, const std::string& bytes) { Arrived(from, bytes); });
   decision_.Keep(this);
-  log_.Line("work", fmt::format("kept at three of {} seats", manager_.replica_set().all().size()));
+  log_.Line("failover", fmt::format("records at three of {} replicas", manager_.replica_set().all().size()));
   Flush();
 }
 
-// What is open goes on uncovered.
+// What is open goes on untracked.
 WorkInHand::~WorkInHand() {
   peers_.OnCargo(peers::Peers::Lane::kWork, {});
   manager_.ContinueUntracked(peers::Peers::Now());
@@ -80,7 +83,7 @@
   failover::Time now = peers::Peers::Now();
   manager_.SetLife(peers_.life());
   manager_.Open(now, static_cast<failover::OwnershipManager::Number>(id), NameOf(request),
-             settings_.classes[static_cast<std::size_t>(request.cls)], now + left);
+                settings_.classes[static_cast<std::size_t>(request.cls)], now + left);
 }
 
 void WorkInHand::Want(RequestId id, const std::string& member) {
@@ -94,7 +97,8 @@
 }
 
 void WorkInHand::Finish(RequestId id, OperationOutcome end, std::string value) {
-  manager_.Finish(peers::Peers::Now(), static_cast<failover::OwnershipManager::Number>(id), end, std::move(value));
+  manager_.Finish(peers::Peers::Now(), static_cast<failover::OwnershipManager::Number>(id), end,
+                  std::move(value));
   Flush();
 }
 
@@ -108,7 +112,7 @@
   failover::DecodeError error = failover::Decode(bytes, manager_.replica_set().print(), messages);
   if (error != failover::DecodeError::kNone) {
     ++dropped_;
-    return log_.Line("work dropped", fmt::format("what {} says {}", from, Text(error)));
+    return log_.Line("failover dropped", fmt::format("what {} says {}", from, Text(error)));
   }
   failover::Time now = peers::Peers::Now();
   for (const failover::Message& message : messages) manager_.Take(now, from, message);
@@ -131,7 +135,7 @@
   for (failover::OwnershipManager::Outgoing& out : manager_.DrainOutgoing()) {
     Parcel& parcel = parcels[out.router];
     std::size_t more = failover::SizeOf(out.message);
-    std::size_t most = out.message.kind == failover::Kind::kSyncRecord ? kMostCopies : kMostParcel;
+    std::size_t most = out.message.kind == failover::Kind::kSyncRecord ? kMostSyncBytes : kMostParcel;
     bool full = parcel.size + more > most || parcel.messages.size() >= failover::kMaxMessages;
     if (full && !parcel.messages.empty()) send(out.router, parcel);
     parcel.size += more;
@@ -144,8 +148,10 @@
       decision_.MaySend(id);
       continue;
     }
-    if (result.no_quorum) log_.Line("work alone", "no two of the three seats of a record can be reached");
-    decision_.Close(id, result.outcome, std::move(result.value), result.no_quorum ? kAloneComeBack : Duration{});
+    if (result.no_quorum)
+      log_.Line("failover no quorum", "no two of the three replicas of a record can be reached");
+    decision_.Close(id, result.outcome, std::move(result.value),
+                    result.no_quorum ? kAloneComeBack : Duration{});
   }
   if (auto due = manager_.Due()) tick_.Set(std::max(*due - peers::Peers::Now(), failover::Span{}));
 }
@@ -153,23 +159,23 @@
 std::vector<std::pair<std::string, std::uint64_t>> WorkInHand::Figures() const {
   const failover::OwnershipManager::Metrics& f = manager_.metrics();
   return {{"open", manager_.open()},
-          {"covered", f.tracked},
-          {"uncovered", f.untracked},
+          {"tracked", f.tracked},
+          {"untracked", f.untracked},
           {"joined", f.joined},
           {"taken_over", f.taken_over},
-          {"ended_by_other", f.answered_by_other},
-          {"ended_value", f.value},
-          {"ended_failed", f.failed},
-          {"ended_rejected", f.rejected},
-          {"let_go", f.released},
-          {"refused", f.preempted},
-          {"late", f.permits_expired},
-          {"alone", f.no_quorum},
-          {"untold", f.outcome_not_committed},
-          {"not_kept", f.value_not_stored},
+          {"answered_by_other", f.answered_by_other},
+          {"outcome_value", f.value},
+          {"outcome_failed", f.failed},
+          {"outcome_rejected", f.rejected},
+          {"released", f.released},
+          {"preempted", f.preempted},
+          {"permits_expired", f.permits_expired},
+          {"no_quorum", f.no_quorum},
+          {"outcome_not_committed", f.outcome_not_committed},
+          {"value_not_stored", f.value_not_stored},
           {"records", manager_.replica().records()},
           {"record_bytes", manager_.replica().bytes()},
-          {"young", manager_.replica().recovering(peers::Peers::Now()) ? 1u : 0u},
+          {"recovering", manager_.replica().recovering(peers::Peers::Now()) ? 1u : 0u},
           {"sent", sent_},
           {"bytes_sent", bytes_},
           {"unreached", unreached_},
@@ -179,10 +185,10 @@
 std::string WorkInHand::Describe() const {
   nlohmann::json all = nlohmann::json::object();
   for (const auto& [name, value] : Figures()) all[name] = value;
-  nlohmann::json seats = nlohmann::json::array();
+  nlohmann::json replicas = nlohmann::json::array();
   for (const failover::ReplicaName& replica : manager_.replica_set().all())
-    seats.push_back({{"name", seat.router}, {"zone", seat.zone}});
-  all["seats"] = std::move(seats);
+    replicas.push_back({{"name", replica.router}, {"zone", replica.zone}});
+  all["replicas"] = std::move(replicas);
   return all.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
--- a/src/router/work_in_hand.h
+++ b/src/router/work_in_hand.h
@@ -1,5 +1,5 @@
-// A router's part in the work of its fleet: its desk, driven by the loop, and the way to the others' by its
-// peers. Switched off it is not made at all.
+// A router's part in the operations of its fleet: its ownership manager, driven by the loop, and the way to the
+// others' by its peers. Switched off it is not made at all.
 #pragma once
 
 #include <cstdint>
--- a/src/stage/keeping.h
+++ b/src/stage/keeping.h
@@ -1,6 +1,7 @@
-// What the stage asks before it sends and before it answers, where work in hand is to outlive its router.
-// Which member, whether again and with what end stays the module's; here is only whether it may happen now,
-// and whether another has the work. The answers come through Decision::MaySend and Decision::Close.
+// What the stage asks before it sends and before it answers, where operations are to outlive their router. Which
+// member, whether again and with what outcome stays the module's; here is only whether it may happen now, and
+// whether another has the operation. The answers come through Decision::MaySend and
+// Decision::Close.
 #pragma once
 
 #include <string>
@@ -21,8 +22,8 @@
   virtual void Want(RequestId id, const std::string& member) = 0;
   // The attempt that was let go last has ended without a value.
   virtual void FlowEnded(RequestId id, bool may_have_run) = 0;
-  // Close follows, with this end or with another.
-  virtual void Finish(RequestId id, OperationOutcome end, std::string value) = 0;
+  // Close follows, with this outcome or with another.
+  virtual void Finish(RequestId id, OperationOutcome outcome, std::string value) = 0;
   // Nothing follows.
   virtual void Left(RequestId id) = 0;
 };
--- a/tests/failover/failover_simulation.h
+++ b/tests/failover/failover_simulation.h
@@ -1,4 +1,4 @@
-// Routers' desks on simulated links and clocks, with clients that come back and one server that counts
+// Routers' ownership managers on simulated links and clocks, with clients that come back and one server that counts
 // effects. The same seed gives the same run. The rules are checked on what the server and the clients see.
 #pragma once
 
@@ -250,7 +250,7 @@
     std::size_t w = at->second;
     Operation& operation = operations_[w];
     if (result.what == OwnershipManager::Result::What::kSend) {
-      // The server has it after a moment, and answers after its operation; some dials fail.
+      // The server has it after a moment, and answers after its time; some dials fail.
       std::uint64_t life = router.life;
       if (random_.Unit() < 0.02) {
         agenda_.In(5ms, [this, r, life, number = result.number, w] {
--- a/tests/failover/ownership_test.cpp
+++ b/tests/failover/ownership_test.cpp
@@ -1,4 +1,4 @@
-// Fleets of desks under faults, in simulated time.
+// Fleets of ownership managers under faults, in simulated time.
 #include "doctest/doctest.h"
 #include "failover/failover_simulation.h"
 
@@ -57,7 +57,7 @@
   CHECK(outcome.rejected == 0);
 }
 
-TEST_CASE("ownership: without a life that the fleet knows nothing is asked, and no word") {
+TEST_CASE("ownership: without a life that the fleet knows nothing is asked, and no state transfer") {
   ReplicaSet replicas({{"a", "x"}, {"b", "y"}, {"c", "x"}});
   ClassSettings cls;
   cls.effect = Effect::kUnsafe;
--- a/tests/net/operations_test.cpp
+++ b/tests/net/operations_test.cpp
@@ -22,6 +22,8 @@
   CHECK(call("JOIN\n") == "ok serving\n");
   CHECK(call("\n") == "fail empty call\n");
   CHECK(call("NOTHING\n") == "fail unknown call\n");
+  CHECK(call("FAILOVER\n") == "fail failover is off\n");
+  CHECK(call("WORK\n") == "fail WORK was renamed to FAILOVER\n");
   CHECK(call(std::string("HEALTH\0\n", 8)) == "fail unknown call\n");
   CHECK(call("HEALTH\nLEAVE\n") == "ok serving\n");  // one line a connection
   CHECK(stage.router.life().state() == LifeCycle::State::kServing);
--- a/tests/net/program.sh
+++ b/tests/net/program.sh
@@ -132,3 +132,9 @@
 grep -q 'handover: cannot wait at' "$folder/log" || fail "no word of the door that cannot be had"
 kill -TERM "$pid"
 wait "$pid" || fail "the exit was not 0"
+
+# A command that was renamed is an error that tells its new name.
+if "$program" work --at 127.0.0.1:1 2>"$folder/err"; then fail "a renamed command is taken"; fi
+grep -q 'work: renamed to failover' "$folder/err" || fail "the new name of a renamed command is not told"
+if "$program" failover --at 127.0.0.1:1 2>"$folder/err"; then fail "nobody is there, and it succeeds"; fi
+grep -q 'cannot reach 127.0.0.1:1' "$folder/err" || fail "the renamed command is not known"
--- a/tests/orders/failover_model.cpp
+++ b/tests/orders/failover_model.cpp
@@ -1,4 +1,4 @@
-// The town of an operation's replicas and routers: what may happen next, what is in flight, and what replicas do with it.
+// The model of an operation's replicas and routers: what may happen next, what is in flight, and what replicas do with it.
 #include "orders/failover_model.h"
 
 #include <algorithm>
@@ -67,7 +67,7 @@
       });
   }
   for (std::size_t s = 0; budget_.restarts > 0 && s < replicas_.size(); ++s) {
-    may("replica " + std::to_string(s) + " starts anew", [s](FailoverModel& t) {
+    may("replica " + std::to_string(s) + " restarts", [s](FailoverModel& t) {
       --t.budget_.restarts;
       failover::Time started = t.setup_.mutant == Mutant::kForgotten ? -kOld : t.now_;
       std::uint64_t life = t.replicas_[s]->life + 1;
@@ -76,7 +76,7 @@
   }
   for (std::size_t s = 0; budget_.syncs > 0 && s < replicas_.size(); ++s) {
     if (replicas_[s]->life == 1) continue;
-    may("replica " + std::to_string(s) + " asks for syncs", [s](FailoverModel& t) { t.RequestSyncs(s); });
+    may("replica " + std::to_string(s) + " asks for state", [s](FailoverModel& t) { t.RequestSyncs(s); });
   }
   for (std::size_t i = 0; i < syncs_.size(); ++i) {
     const SyncMessages& sync = *syncs_[i];
@@ -193,7 +193,7 @@
 bool FailoverModel::Idle(const Parcel& parcel) const {
   if (parcel.message.kind == failover::Kind::kRead) return false;
   if (setup_.syncs > 0 && budget_.restarts > 0)
-    return false;  // what it refuses now it may take once it starts anew
+    return false;  // what it refuses now it may take once it restarts
   const auto& stored = replicas_[parcel.replica]->acceptor.stored();
   if (stored.empty()) return false;
   const auto& record = stored.begin()->second;
--- a/tests/orders/failover_model.h
+++ b/tests/orders/failover_model.h
@@ -1,5 +1,5 @@
 // An operation's three replicas and the routers that have to do with it, all of them the real code, in a place where
-// messages are delivered in any order, twice, or never, processes die or start anew with nothing in memory,
+// messages are delivered in any order, twice, or never, processes die or restart with nothing in memory,
 // and time passes. A router here does what the decision module would; the rules are checked as things happen.
 #pragma once
 
@@ -28,29 +28,29 @@
 using failover::OperationOutcome;
 using failover::Message;
 
-// What a careless build would be.
+// Known bugs, which the search must find.
 enum class Mutant {
   kNone,
   kNoPromise,      // takes over without asking
   kForgotten,      // a process that has just started votes as if it had forgotten nothing
   kWindowAnew,     // counts the window from its own attempt
-  kTellsFirst,     // answers before the outcome stands
+  kTellsFirst,     // answers before the outcome is committed
   kOldPermission,  // sends on a permission that has long been waited for
-  kSendsFirst,     // sends before the record stands
-  kOneReplica,        // takes the sync of one replica for that of a majority
+  kSendsFirst,     // sends before the record is committed
+  kOneReplica,        // takes the answer of one replica for those of a majority
   kOneWriter,      // reads of several first writers only the highest
-  kFormerLives,    // counts a vote though the replica has started anew since, and been given the others' sync
-  kOneSync,        // votes by the sync of one
-  kEmptySync       // gives its sync without what it keeps
+  kFormerLives,    // counts a vote though the replica has restarted since, and been given the others' state
+  kOneSync,        // votes after the state transfer of one
+  kEmptySync       // transfers its state without the records
 };
 
 struct FailoverModelSetup {
   Effect effect = Effect::kUnsafe;
   int routers = 2;            // the first is asked at once; each may take over
   bool second_asker = false;  // the second router's client asks for the same operation as if it were new
-  int tries = 1;              // failovers that each router may try
+  int tries = 1;              // takeovers that each router may try
   int restarts = 0;           // of replicas
-  int syncs = 0;              // times that replicas which started anew ask for the others' sync
+  int syncs = 0;              // times that replicas which restarted ask for the others' state
   int deaths = 0;    // of routers; one that hears nothing more is as good as dead, so these add no order
   int twice = 0;     // messages that are delivered twice
   int looks = 0;     // by one who waits for the outcome, and takes no part
@@ -158,7 +158,7 @@
 
   void Deliver(std::size_t i, bool keep);
 
-  // Notes a reject in the moment in which it stands: what others send after that was asked for anew.
+  // Notes a reject in the moment in which it is committed: what others send after that was asked for again.
   void Committed(const Message& message);
 
   void Take(std::size_t r, Router& router, std::size_t replica, const Message& message, Outs& out);
--- a/tests/orders/failover_model_router.cpp
+++ b/tests/orders/failover_model_router.cpp
@@ -113,7 +113,7 @@
 }
 
 void FailoverModel::Tell(OperationOutcome outcome, const std::string& value) {
-  if (outcome == OperationOutcome::kRejected) return;  // see Stands
+  if (outcome == OperationOutcome::kRejected) return;  // see Committed
   std::string text = std::string(failover::kOutcomeNames[static_cast<int>(outcome)]) + value;
   if (!told_.empty() && told_ != text) Broken("two ends: " + told_ + ", " + text);
   if (told_.empty()) told_at_ = now_;
--- a/tests/orders/failover_test.cpp
+++ b/tests/orders/failover_test.cpp
@@ -89,14 +89,14 @@
   HoldsIn("keyed", {.effect = Effect::kKeyed, .passes = 3, .back = false});
 }
 TEST(Failover, TwoAskersAtOnce) { HoldsIn("two askers", {.second_asker = true}); }
-TEST(Failover, AReplicaStartsAnew) { HoldsIn("replica anew", {.restarts = 1, .lost_dials = false}); }
-TEST(Failover, TwoReplicasStartAnew) {
-  HoldsIn("two replicas anew", {.restarts = 2, .back = false, .lost_dials = false});
+TEST(Failover, AReplicaRestarts) { HoldsIn("replica restarts", {.restarts = 1, .lost_dials = false}); }
+TEST(Failover, TwoReplicasRestart) {
+  HoldsIn("two replicas restart", {.restarts = 2, .back = false, .lost_dials = false});
 }
 TEST(Failover, MessagesComeTwice) { HoldsIn("twice", {.twice = 1, .back = false, .lost_dials = false}); }
 TEST(Failover, PermissionsThatComeLate) { HoldsIn("late", {.passes = 2, .lost_dials = false}); }
 TEST(Failover, ThreeRouters) { HoldsIn("three routers", {.routers = 3, .back = false, .lost_dials = false}); }
-TEST(Failover, AReplicaStartsAnewAndIsGivenTheOthersState) {
+TEST(Failover, AReplicaRestartsAndIsGivenTheOthersState) {
   HoldsIn("syncs", {.restarts = 1, .syncs = 1, .back = false, .lost_dials = false});
 }
 TEST(Failover, TwoReplicasAreGivenTheOthersState) {
@@ -111,8 +111,7 @@
 }
 TEST(Failover, OneLooksOn) { HoldsIn("one looks on", {.looks = 2, .back = false, .lost_dials = false}); }
 
-// ---- A replica by itself
-// ---------------------------------------------------------------------------------------
+// ---- A replica by itself ----------------------------------------------------------------------------------
 
 failover::Message Accept(const std::string& operation, const std::string& by, std::uint64_t round,
                          std::uint32_t version) {
@@ -129,7 +128,7 @@
   return message;
 }
 
-TEST(Failover, AReplicaThatIsFullRefusesAndForgetsNothing) {
+TEST(Failover, AReplicaThatIsFullRejectsAndForgetsNothing) {
   failover::RecordReplica acceptor({.lifetime = 1s, .bytes = 1500}, -10s);
   int kept = 0;
   for (int i = 0; i < 10; ++i)
@@ -154,8 +153,8 @@
   EXPECT_EQ(acceptor.Take(1s, Accept("w", "a", 0, 1)).kind, failover::Kind::kAccepted);
 }
 
-// Also of one process: what it wrote in a former go, of which it knows nothing more, is not its own.
-TEST(Failover, ASecondGoOfTheSameProcessIsAnother) {
+// Also of one process: what it wrote in a former proposal, of which it knows nothing more, is not its own.
+TEST(Failover, ASecondProposalOfTheSameProcessIsAnother) {
   failover::RecordReplica acceptor({}, -1h);
   EXPECT_EQ(acceptor.Take(0s, Accept("w", "a", 0, 1)).kind, failover::Kind::kAccepted);
   failover::Message again = Accept("w", "a", 0, 1);
@@ -163,7 +162,7 @@
   EXPECT_EQ(acceptor.Take(0s, again).nack, failover::Nack::kPreempted);
 }
 
-TEST(Failover, ReplicasAreSpreadAndHangOnNothingButTheirNames) {
+TEST(Failover, ReplicasAreSpreadAndDependOnNothingButTheirNames) {
   std::vector<failover::ReplicaName> names;
   for (int i = 0; i < 20; ++i) names.push_back({"r" + std::to_string(i), i % 2 == 0 ? "east" : "west"});
   failover::ReplicaSet replicas(names);
@@ -211,7 +210,7 @@
 TEST(Failover, MutantPromiseForgottenAtRestart) {
   IsCaught(Mutant::kForgotten, With(kSmall, 1, 0), "two ends");
 }
-TEST(Failover, MutantWindowCountedAnew) {
+TEST(Failover, MutantWindowCountedAgain) {
   FailoverModelSetup setup = With(kSmall, 0, 3);
   setup.effect = Effect::kKeyed;
   IsCaught(Mutant::kWindowAnew, setup, "keyed operation sent again after its window");
@@ -220,7 +219,7 @@
 TEST(Failover, MutantOldPermissionUsed) {
   IsCaught(Mutant::kOldPermission, With(kSmall, 0, 1), "sent what had ended");
 }
-TEST(Failover, MutantSentBeforeTheRecordStands) {
+TEST(Failover, MutantSentBeforeTheRecordIsCommitted) {
   IsCaught(Mutant::kSendsFirst, kSmall, "unsafe operation sent twice");
 }
 TEST(Failover, MutantOneReplicaIsTakenForTwo) { IsCaught(Mutant::kOneReplica, kSmall, "two ends"); }
