--- a/src/compat/bureau.cpp
+++ b/src/compat/bureau.cpp
@@ -9,10 +9,10 @@
 namespace peatbend::compat {
 
 using failover::Ballot;
-using failover::RecordProposer;
 using failover::Kind;
 using failover::kReplicas;
 using failover::Message;
+using failover::RecordProposer;
 
 namespace {
 
@@ -182,8 +182,8 @@
       std::vector<Message> messages;
       if (failover::Decode(say.bytes, print_, messages) != failover::DecodeError::kNone) return;
       for (const Message& message : messages) {
-        bool answer = message.kind == Kind::kPromise || message.kind == Kind::kAccepted ||
-                      message.kind == Kind::kNack;
+        bool answer =
+            message.kind == Kind::kPromise || message.kind == Kind::kAccepted || message.kind == Kind::kNack;
         answer ? Answered(now, SeatOf(from), message) : Asked(now, from, message);
       }
       break;
--- a/src/compat/bureau.h
+++ b/src/compat/bureau.h
@@ -1,7 +1,7 @@
 // A router's part in the register of what is published: its seat, if it is one of the three; the changes that
 // it brings, one after another; and what it knows of the catalogue. Decides when to say again, when to begin
-// anew and whom to ask; what is accepted is Change's and RecordReplica's. Free of I/O and clocks; one owner, one
-// thread. What is to be sent, also to itself, is gathered until it is taken.
+// anew and whom to ask; what is accepted is Change's and RecordReplica's. Free of I/O and clocks; one owner,
+// one thread. What is to be sent, also to itself, is gathered until it is taken.
 //
 // A seat's answers may leave only once memory() is kept where the process's end does not reach it, if there
 // is such a place: see unsaved().
@@ -56,8 +56,9 @@
     std::uint64_t changes = 0, refused = 0, goes = 0, outrun = 0, fetched = 0, words = 0;
   };
 
-  // `life`: as failover::RecordReplica's; 0 while it is not sure, and then nothing is brought or voted. `nonce`: of
-  // no other start of any process. `others`: the routers that seem to be there; only says whom to ask.
+  // `life`: as failover::RecordReplica's; 0 while it is not sure, and then nothing is brought or voted.
+  // `nonce`: of no other start of any process. `others`: the routers that seem to be there; only says whom to
+  // ask.
   Bureau(BureauOptions options, const failover::ReplicaSet& seats, std::string self, std::uint64_t life,
          std::uint64_t nonce, Time now, std::function<std::vector<std::string>()> others);
 
--- a/src/compat/bureau_seat.cpp
+++ b/src/compat/bureau_seat.cpp
@@ -157,7 +157,8 @@
     }
     case Kind::kPrepare:
     case Kind::kAccept: {
-      if (message.operation != kWork || message.ballot.round == 0) return;  // of the register nothing is ever free
+      if (message.operation != kWork || message.ballot.round == 0)
+        return;  // of the register nothing is ever free
       bool before = replica_.Votes(now, kWork);
       auto slot = replica_.stored().find(kWork);
       auto was = slot == replica_.stored().end() ? failover::RecordReplica::StoredRecord{} : slot->second;
--- a/src/compat/librarian.h
+++ b/src/compat/librarian.h
@@ -15,8 +15,8 @@
 
 #include "compat/published.h"
 #include "compat/wire.h"
-#include "rations/table.h"
 #include "failover/record.h"
+#include "rations/table.h"
 
 namespace peatbend::compat {
 
--- a/src/compat/register.cpp
+++ b/src/compat/register.cpp
@@ -5,9 +5,9 @@
 using failover::RecordProposer;
 
 failover::RecordReplica RegisterSeat(failover::Time now, bool found, std::string self, std::uint64_t life,
-                              failover::RecordReplica::ReplicasFor replicas_for, std::size_t bytes) {
-  return failover::RecordReplica({.lifetime = kForEver, .bytes = bytes}, found ? now - kForEver : now, std::move(self),
-                          life, std::move(replicas_for));
+                                     failover::RecordReplica::ReplicasFor replicas_for, std::size_t bytes) {
+  return failover::RecordReplica({.lifetime = kForEver, .bytes = bytes}, found ? now - kForEver : now,
+                                 std::move(self), life, std::move(replicas_for));
 }
 
 void Change::Begin(failover::Time now, std::vector<RecordProposer::Outgoing>& out) {
--- a/src/compat/register.h
+++ b/src/compat/register.h
@@ -1,6 +1,7 @@
 // The catalogue as a register at three seats, read and replaced by compare and set: failover's RecordProposer
-// and RecordReplica as they are, without attempts and outcomes. What is accepted is accepted once for the whole fleet, also in
-// two halves. Free of I/O and clocks; the caller carries messages and decides when to begin anew.
+// and RecordReplica as they are, without attempts and outcomes. What is accepted is accepted once for the
+// whole fleet, also in two halves. Free of I/O and clocks; the caller carries messages and decides when to
+// begin anew.
 #pragma once
 
 #include <functional>
@@ -21,7 +22,8 @@
 // one that has forgotten nothing. Otherwise it votes after both the others' state transfers
 // (RecordReplica::RequestSync). A seat that is started again as if it were new forgets what was accepted.
 failover::RecordReplica RegisterSeat(failover::Time now, bool found, std::string self, std::uint64_t life,
-                              failover::RecordReplica::ReplicasFor replicas_for, std::size_t bytes = 4u << 20);
+                                     failover::RecordReplica::ReplicasFor replicas_for,
+                                     std::size_t bytes = 4u << 20);
 
 // One command brought to the register. One owner, one thread.
 class Change {
@@ -45,7 +47,9 @@
   // Also again: after kLost, or in place of a go that does not come to its end.
   void Begin(failover::Time now, std::vector<failover::RecordProposer::Outgoing>& out);
   // Once more to the seats that have not answered.
-  void Again(failover::Time now, std::vector<failover::RecordProposer::Outgoing>& out) const { record_.Again(now, out); }
+  void Again(failover::Time now, std::vector<failover::RecordProposer::Outgoing>& out) const {
+    record_.Again(now, out);
+  }
   Verdict Take(failover::Time now, std::size_t seat, const failover::Message& answer,
                std::vector<failover::RecordProposer::Outgoing>& out);
 
--- a/src/compat/wire.cpp
+++ b/src/compat/wire.cpp
@@ -7,10 +7,10 @@
 namespace peatbend::compat {
 namespace {
 
+using failover::Ballot;
 using net::FieldReader;
 using net::kAny;
 using nlohmann::json;
-using failover::Ballot;
 
 constexpr int kNested = 4;
 constexpr std::uint64_t kForm = 1;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -14,8 +14,8 @@
 #include "base/text.h"
 #include "config/file.h"
 #include "config/subjects.h"
-#include "rations/book.h"
 #include "failover/replica_set.h"
+#include "rations/book.h"
 
 namespace peatbend {
 namespace {
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -44,7 +44,7 @@
     std::vector<std::string> seeds;
     bool operator==(const Peers&) const = default;
   } peers;
-  struct Failover {                  // off where no replicas are set
+  struct Failover {                     // off where no replicas are set
     std::vector<std::string> replicas;  // NAME/ZONE
     std::string no_quorum = "reject";   // or "serve"
     bool operator==(const Failover&) const = default;
--- a/src/failover/operation_ownership.cpp
+++ b/src/failover/operation_ownership.cpp
@@ -13,8 +13,8 @@
   return age + unsure < cls.window ? RecoveryAction::kRetry : RecoveryAction::kFail;
 }
 
-// What is committed, with what this process knows of its own attempts: one that was neither permitted nor is wanted
-// now has not run, and will not.
+// What is committed, with what this process knows of its own attempts: one that was neither permitted nor is
+// wanted now has not run, and will not.
 RecordState OperationOwnership::Known() const {
   RecordState known = record_.state();
   for (AttemptRecord& attempt : known.attempts) {
@@ -37,10 +37,12 @@
   });
 }
 
-void OperationOwnership::Want(Time now, const std::string& server, std::vector<RecordProposer::Outgoing>& out) {
+void OperationOwnership::Want(Time now, const std::string& server,
+                              std::vector<RecordProposer::Outgoing>& out) {
   server_.clear();
   RecordState next = Known();
-  if (next.final() || record_.phase() == RecordProposer::Phase::kLost || record_.phase() == RecordProposer::Phase::kPreparing)
+  if (next.final() || record_.phase() == RecordProposer::Phase::kLost ||
+      record_.phase() == RecordProposer::Phase::kPreparing)
     return;
   next.outcome = OperationOutcome::kNone;  // a reject is over with the next who asks
   next.released = false;
@@ -51,7 +53,8 @@
 
 void OperationOwnership::NeverRan() { may_have_run_.erase(sent_); }
 
-void OperationOwnership::Finish(Time now, OperationOutcome outcome, std::string value, std::vector<RecordProposer::Outgoing>& out, bool kept) {
+void OperationOwnership::Finish(Time now, OperationOutcome outcome, std::string value,
+                                std::vector<RecordProposer::Outgoing>& out, bool kept) {
   server_.clear();
   outcome_ = outcome;
   value_ = std::move(value);
@@ -71,7 +74,8 @@
 
 void OperationOwnership::Release(Time now, std::vector<RecordProposer::Outgoing>& out) {
   server_.clear();
-  bool wrote = record_.phase() == RecordProposer::Phase::kWriting || record_.phase() == RecordProposer::Phase::kOwner;
+  bool wrote =
+      record_.phase() == RecordProposer::Phase::kWriting || record_.phase() == RecordProposer::Phase::kOwner;
   RecordState next = Known();
   if (!wrote || next.final()) return;
   next.released = true;
@@ -84,7 +88,7 @@
 }
 
 OwnershipResult OperationOwnership::Take(Time now, std::size_t replica, const Message& answer,
-                               std::vector<RecordProposer::Outgoing>& out) {
+                                         std::vector<RecordProposer::Outgoing>& out) {
   if (!record_.Take(now, replica, answer)) return OwnershipResult::kNothing;
   switch (record_.phase()) {
     case RecordProposer::Phase::kOwner:
--- a/src/failover/ownership_manager.cpp
+++ b/src/failover/ownership_manager.cpp
@@ -17,8 +17,9 @@
 
 }  // namespace
 
-OwnershipManager::OwnershipManager(OwnershipOptions options, ReplicaSet replica_set, std::string self, std::uint64_t life, Time now,
-           std::function<bool(const Proposer&)> has_ended)
+OwnershipManager::OwnershipManager(OwnershipOptions options, ReplicaSet replica_set, std::string self,
+                                   std::uint64_t life, Time now,
+                                   std::function<bool(const Proposer&)> has_ended)
     : options_(options),
       replica_set_(std::move(replica_set)),
       self_(std::move(self)),
@@ -80,7 +81,8 @@
   }
   const Proposer& proposer = message.ballot.proposer;
   if (proposer.name != self_) return;
-  if (message.kind == Kind::kSyncDone || message.kind == Kind::kSyncRecord) return replica_.HandleSync(now, from, message);
+  if (message.kind == Kind::kSyncDone || message.kind == Kind::kSyncRecord)
+    return replica_.HandleSync(now, from, message);
   auto at = pending_.find(proposer.proposal & ~kReaderBit);
   if (at == pending_.end()) return;
   PendingOperation& pending = at->second;
@@ -92,7 +94,8 @@
   Settle(now);
 }
 
-void OwnershipManager::OnMessage(Time now, PendingOperation& pending, std::size_t replica, const Message& message) {
+void OwnershipManager::OnMessage(Time now, PendingOperation& pending, std::size_t replica,
+                                 const Message& message) {
   if ((message.ballot.proposer.proposal & kReaderBit) != 0) {
     pending.reader.Take(replica, message);
     if (pending.phase == Phase::kWatching) Watched(now, pending);
@@ -123,7 +126,8 @@
 
 // ---- What the router wants --------------------------------------------------------------------------------
 
-void OwnershipManager::Open(Time now, Number number, std::string operation, const ClassSettings& cls, Time deadline) {
+void OwnershipManager::Open(Time now, Number number, std::string operation, const ClassSettings& cls,
+                            Time deadline) {
   std::uint64_t proposal = ++last_proposal_;
   auto [at, made] = pending_.try_emplace(proposal, operation, Proposer{self_, life_, proposal},
                                          Proposer{self_, life_, proposal | kReaderBit}, options_.send_permit);
@@ -196,7 +200,8 @@
   PendingOperation* pending = Find(number);
   if (pending == nullptr) return;
   pending->awaited = false;
-  if (pending->phase != Phase::kSent && pending->phase != Phase::kFinishing) Close(now, *pending, OperationOutcome::kNone, {});
+  if (pending->phase != Phase::kSent && pending->phase != Phase::kFinishing)
+    Close(now, *pending, OperationOutcome::kNone, {});
   Settle(now);
 }
 
@@ -216,7 +221,8 @@
   return next == RecoveryAction::kRetry && grouped && elsewhere ? RecoveryAction::kFail : next;
 }
 
-void OwnershipManager::Wait(Time now, PendingOperation& pending, Phase phase, std::vector<RecordProposer::Outgoing> out, Span again) {
+void OwnershipManager::Wait(Time now, PendingOperation& pending, Phase phase,
+                            std::vector<RecordProposer::Outgoing> out, Span again) {
   pending.phase = phase;
   pending.since = now;
   SetNext(now, pending, again);
@@ -235,7 +241,8 @@
   Wait(now, pending, Phase::kProposed, std::move(out), options_.retry_every);
 }
 
-void OwnershipManager::Write(Time now, PendingOperation& pending, OperationOutcome outcome, std::string value) {
+void OwnershipManager::Write(Time now, PendingOperation& pending, OperationOutcome outcome,
+                             std::string value) {
   std::vector<RecordProposer::Outgoing> out;
   bool kept = value.size() <= options_.value_bytes;
   metrics_.value_not_stored += kept ? 0 : 1;
@@ -282,7 +289,8 @@
 // No majority can be had.
 void OwnershipManager::NoQuorum(Time now, PendingOperation& pending) {
   ++metrics_.no_quorum;
-  bool may = pending.phase == Phase::kTakingOver || pending.ownership.preempted() || pending.ownership.MayHaveRun();
+  bool may =
+      pending.phase == Phase::kTakingOver || pending.ownership.preempted() || pending.ownership.MayHaveRun();
   if (may) return Close(now, pending, OperationOutcome::kFailed, {}, true);
   if (!options_.serve_untracked) return Close(now, pending, OperationOutcome::kRejected, {}, true);
   ++metrics_.untracked;
@@ -300,9 +308,10 @@
   Close(now, pending, state.outcome, state.value, false, true);
 }
 
-void OwnershipManager::Close(Time now, PendingOperation& pending, OperationOutcome outcome, std::string value, bool no_quorum, bool committed) {
-  bool written =
-      pending.ownership.record().phase() == RecordProposer::Phase::kOwner && pending.ownership.state().outcome != OperationOutcome::kNone;
+void OwnershipManager::Close(Time now, PendingOperation& pending, OperationOutcome outcome, std::string value,
+                             bool no_quorum, bool committed) {
+  bool written = pending.ownership.record().phase() == RecordProposer::Phase::kOwner &&
+                 pending.ownership.state().outcome != OperationOutcome::kNone;
   if (!written && pending.phase != Phase::kUntracked) {
     std::vector<RecordProposer::Outgoing> out;
     pending.ownership.Release(now, out);
@@ -313,7 +322,8 @@
     metrics_.value += outcome == OperationOutcome::kValue ? 1 : 0;
     metrics_.failed += outcome == OperationOutcome::kFailed ? 1 : 0;
     metrics_.rejected += outcome == OperationOutcome::kRejected ? 1 : 0;
-    results_.push_back({pending.number, Result::What::kOutcome, outcome, std::move(value), no_quorum, committed});
+    results_.push_back(
+        {pending.number, Result::What::kOutcome, outcome, std::move(value), no_quorum, committed});
   }
   std::uint64_t proposal = pending.proposer().proposal;
   due_.erase({pending.due, proposal});
@@ -374,7 +384,8 @@
     case Phase::kFinishing:
       if (waited >= options_.outcome_timeout || (waited >= kLeast && Over(now, pending))) {
         ++metrics_.outcome_not_committed;
-        bool reject = pending.ownership.outcome() == OperationOutcome::kRejected && !pending.ownership.preempted();
+        bool reject =
+            pending.ownership.outcome() == OperationOutcome::kRejected && !pending.ownership.preempted();
         return Close(now, pending, reject ? OperationOutcome::kRejected : OperationOutcome::kFailed, {});
       }
       if (record.phase() == RecordProposer::Phase::kLost) pending.ownership.TakeOver(now, out);
--- a/src/failover/ownership_manager.h
+++ b/src/failover/ownership_manager.h
@@ -1,5 +1,5 @@
-// All operations that one router has open, and its replica of the records of others. Decides when to ask again,
-// when to wait for another, when to take over and when to give up; whether that may happen is
+// All operations that one router has open, and its replica of the records of others. Decides when to ask
+// again, when to wait for another, when to take over and when to give up; whether that may happen is
 // OperationOwnership's. Free of I/O and clocks; one owner, one thread. What is to be sent to replicas and
 // reported to the router is gathered until it is drained.
 //
@@ -19,20 +19,20 @@
 #include <vector>
 
 #include "failover/operation_ownership.h"
-#include "failover/record_replica.h"
 #include "failover/record_reader.h"
+#include "failover/record_replica.h"
 #include "failover/replica_set.h"
 
 namespace peatbend::failover {
 
 struct OwnershipOptions {
   Span send_permit = std::chrono::milliseconds{200};
-  Span commit_timeout = std::chrono::milliseconds{250};  // of a record; else there is no quorum
-  Span outcome_timeout = std::chrono::milliseconds{500};    // the record of an outcome
+  Span commit_timeout = std::chrono::milliseconds{250};   // of a record; else there is no quorum
+  Span outcome_timeout = std::chrono::milliseconds{500};  // the record of an outcome
   Span retry_every = std::chrono::milliseconds{40}, read_every = std::chrono::milliseconds{50};
   Span sync_every = std::chrono::milliseconds{200};  // state transfers are asked for, after a start
-  Span margin = std::chrono::milliseconds{15};        // before the deadline, for the answer's way
-  bool serve_untracked = false;             // else new operations are rejected where no majority can be had
+  Span margin = std::chrono::milliseconds{15};       // before the deadline, for the answer's way
+  bool serve_untracked = false;         // else new operations are rejected where no majority can be had
   std::size_t value_bytes = 16u << 10;  // of an outcome that is kept
   RecordLimits limits;
 };
@@ -55,16 +55,16 @@
         false;  // it is the outcome for all who ask; else only this one's patience, or its reach, is over
   };
   struct Metrics {
-    std::uint64_t tracked = 0, untracked = 0, taken_over = 0, joined = 0, answered_by_other = 0, no_quorum = 0,
-                  preempted = 0, permits_expired = 0, value = 0, failed = 0, rejected = 0, released = 0, value_not_stored = 0,
-                  outcome_not_committed = 0;
+    std::uint64_t tracked = 0, untracked = 0, taken_over = 0, joined = 0, answered_by_other = 0,
+                  no_quorum = 0, preempted = 0, permits_expired = 0, value = 0, failed = 0, rejected = 0,
+                  released = 0, value_not_stored = 0, outcome_not_committed = 0;
   };
 
   // `life`: of this process, higher than any that the fleet knows of its name; 0 while that is not sure, and
-  // then neither a record nor a state transfer is asked for. It may move on. `has_ended`: whether that process
-  // is known to be no more; only says when to try.
-  OwnershipManager(OwnershipOptions options, ReplicaSet replica_set, std::string self, std::uint64_t life, Time now,
-       std::function<bool(const Proposer&)> has_ended);
+  // then neither a record nor a state transfer is asked for. It may move on. `has_ended`: whether that
+  // process is known to be no more; only says when to try.
+  OwnershipManager(OwnershipOptions options, ReplicaSet replica_set, std::string self, std::uint64_t life,
+                   Time now, std::function<bool(const Proposer&)> has_ended);
 
   void SetLife(std::uint64_t life);
   // No replica can be reached from now on: operations that wait for a permission go on untracked. Nothing is
@@ -96,7 +96,8 @@
  private:
   enum class Phase { kNew, kProposed, kSent, kFinishing, kWatching, kTakingOver, kUntracked };
   struct PendingOperation {
-    PendingOperation(const std::string& operation, const Proposer& proposer, const Proposer& reader_proposer, Span send_permit)
+    PendingOperation(const std::string& operation, const Proposer& proposer, const Proposer& reader_proposer,
+                     Span send_permit)
         : ownership(operation, proposer, send_permit), reader(operation, reader_proposer) {}
     const Proposer& proposer() const { return ownership.record().proposer(); }
     OperationOwnership ownership;
@@ -105,15 +106,17 @@
     ClassSettings cls;
     std::array<std::size_t, kReplicas> replicas{};
     Phase phase = Phase::kNew;
-    std::string server;  // wanted
-    bool awaited = true;   // somebody waits for the outcome
+    std::string server;   // wanted
+    bool awaited = true;  // somebody waits for the outcome
     bool joined = false;
     Time deadline{}, since{}, due{};
   };
   using PendingOperations = std::map<std::uint64_t, PendingOperation>;  // by proposal
 
   PendingOperation* Find(Number number);
-  bool Over(Time now, const PendingOperation& pending) const { return now >= pending.deadline - options_.margin; }
+  bool Over(Time now, const PendingOperation& pending) const {
+    return now >= pending.deadline - options_.margin;
+  }
   void SetDue(PendingOperation& pending, Time due);
   // The same, and in time for its last result.
   void SetNext(Time now, PendingOperation& pending, Span in);
@@ -125,7 +128,8 @@
   void RequestSyncs(Time now);
   RecoveryAction Allowed(Time now, const PendingOperation& pending) const;
   // In that phase, for an answer to `out`; to be seen to again after so long.
-  void Wait(Time now, PendingOperation& pending, Phase phase, std::vector<RecordProposer::Outgoing> out, Span again);
+  void Wait(Time now, PendingOperation& pending, Phase phase, std::vector<RecordProposer::Outgoing> out,
+            Span again);
   void Ask(Time now, PendingOperation& pending);
   void Write(Time now, PendingOperation& pending, OperationOutcome outcome, std::string value);
   void Lost(Time now, PendingOperation& pending);
@@ -135,7 +139,8 @@
   void NoQuorum(Time now, PendingOperation& pending);
   void Answer(Time now, PendingOperation& pending, const RecordState& state);
   // The last result of it; the operation is no longer pending then.
-  void Close(Time now, PendingOperation& pending, OperationOutcome outcome, std::string value, bool no_quorum = false, bool committed = false);
+  void Close(Time now, PendingOperation& pending, OperationOutcome outcome, std::string value,
+             bool no_quorum = false, bool committed = false);
 
   OwnershipOptions options_;
   ReplicaSet replica_set_;
--- a/src/failover/record.cpp
+++ b/src/failover/record.cpp
@@ -33,7 +33,8 @@
 }
 
 std::string Text(const Message& m) {
-  std::string text = fmt::format("{} {} by {}", kKindNames[static_cast<int>(m.kind)], m.operation, Text(m.ballot));
+  std::string text =
+      fmt::format("{} {} by {}", kKindNames[static_cast<int>(m.kind)], m.operation, Text(m.ballot));
   bool tells = m.kind == Kind::kPromise || m.kind == Kind::kReadResult;
   if (tells && m.version > 0) text += " kept " + Text(m.kept);
   if (m.version > 0) text += fmt::format(" v{}", m.version);
@@ -47,8 +48,9 @@
 RecordState MergeConcurrent(const RecordState& one, const RecordState& other) {
   RecordState both = one;
   for (const AttemptRecord& attempt : other.attempts) {
-    auto same = std::ranges::find_if(
-        both.attempts, [&](const AttemptRecord& s) { return s.by == attempt.by && s.number == attempt.number; });
+    auto same = std::ranges::find_if(both.attempts, [&](const AttemptRecord& s) {
+      return s.by == attempt.by && s.number == attempt.number;
+    });
     if (same == both.attempts.end()) {
       both.attempts.push_back(attempt);
     } else {
@@ -56,7 +58,8 @@
     }
   }
   std::ranges::sort(both.attempts);
-  if (other.outcome == OperationOutcome::kValue || (other.outcome == OperationOutcome::kFailed && one.outcome != OperationOutcome::kValue)) {
+  if (other.outcome == OperationOutcome::kValue ||
+      (other.outcome == OperationOutcome::kFailed && one.outcome != OperationOutcome::kValue)) {
     both.outcome = other.outcome;
     both.value = other.value;
     both.kept = other.kept;
--- a/src/failover/record.h
+++ b/src/failover/record.h
@@ -17,13 +17,13 @@
 // One proposal of one process on one operation.
 struct Proposer {
   std::string name;
-  std::uint64_t life = 0;  // of the process; another with each start
-  std::uint64_t proposal = 0;    // counts within the life
+  std::uint64_t life = 0;      // of the process; another with each start
+  std::uint64_t proposal = 0;  // counts within the life
   auto operator<=>(const Proposer&) const = default;
 };
 
-// Who may write. Round 0 is for an operation that nobody has written yet, and needs no promise; a higher round
-// needs the promises of a majority. No two proposers have the same ballot.
+// Who may write. Round 0 is for an operation that nobody has written yet, and needs no promise; a higher
+// round needs the promises of a majority. No two proposers have the same ballot.
 struct Ballot {
   std::uint64_t round = 0;
   Proposer proposer;
@@ -46,15 +46,16 @@
   std::vector<AttemptRecord> attempts;
   OperationOutcome outcome = OperationOutcome::kNone;
   std::string value;
-  bool kept = true;     // false: the value was too large to be kept
+  bool kept = true;       // false: the value was too large to be kept
   bool released = false;  // its owner lives and does nothing more for it
   bool operator==(const RecordState&) const = default;
   // Told to one, it is the outcome for all. A reject says: ask again; so it ends only what was asked before.
   bool final() const { return outcome == OperationOutcome::kValue || outcome == OperationOutcome::kFailed; }
 };
 
-// Read, read-result: what a replica stores, without a promise. Sync-request, sync-done, sync-record: the state
-// transfer to a replica that has restarted, which is one message and a copy of each record that both store.
+// Read, read-result: what a replica stores, without a promise. Sync-request, sync-done, sync-record: the
+// state transfer to a replica that has restarted, which is one message and a copy of each record that both
+// store.
 enum class Kind : std::uint8_t {
   kPrepare,
   kAccept,
@@ -67,22 +68,22 @@
   kSyncDone,
   kSyncRecord
 };
-constexpr const char* kKindNames[] = {"prepare", "accept", "promise",  "accepted", "nack",
-                                      "read",    "read-result",   "sync-request", "sync-done",     "sync-record"};
+constexpr const char* kKindNames[] = {"prepare", "accept",      "promise",      "accepted",  "nack",
+                                      "read",    "read-result", "sync-request", "sync-done", "sync-record"};
 
 enum class Nack : std::uint8_t {
   kNone,
-  kPreempted,  // round 0, and another has written or been promised; or a higher ballot has been promised
+  kPreempted,   // round 0, and another has written or been promised; or a higher ballot has been promised
   kRecovering,  // this process may have forgotten what it promised in the life before
-  kFull,   // no room for another record
+  kFull,        // no room for another record
 };
 constexpr const char* kNackNames[] = {"none", "preempted", "recovering", "full"};
 
 // So many replicas store each record.
 constexpr std::size_t kReplicas = 3, kMajority = 2;
 
-// The lives of an operation's replicas, as the one that answers knows them: its own, and those that have asked
-// it for a state transfer.
+// The lives of an operation's replicas, as the one that answers knows them: its own, and those that have
+// asked it for a state transfer.
 using Lives = std::array<std::uint64_t, kReplicas>;
 
 struct Message {
@@ -93,11 +94,12 @@
   Ballot kept;
   std::uint32_t version = 0;  // of the writes under one ballot; 0: nothing is stored
   RecordState state;
-  // accept, promise, read-result: since the first attempt was recorded, at the least; zero without an attempt.
+  // accept, promise, read-result: since the first attempt was recorded, at the least; zero without an
+  // attempt.
   Span age{};
   Nack nack = Nack::kNone;
-  Ballot promised;      // nack: the ballot against it. sync-record: what was promised
-  Lives lives{};        // promise, accepted, read-result
+  Ballot promised;  // nack: the ballot against it. sync-record: what was promised
+  Lives lives{};    // promise, accepted, read-result
   // read-result: the replica has this by a state transfer, and has not been asked to accept it.
   bool copied = false;
   // sync-done: complete for the operations of these, beside the sender and the receiver; "*": for all.
@@ -118,9 +120,9 @@
 void Put(std::string& into, const Message& message);
 
 // The union of two states under round 0, one of which at most is committed, and nobody can tell which: the
-// attempts of both, since what each was about to do may be done. Of their outcomes a value counts first, since
-// only a proposer whose attempt was committed can have one; a reject counts for nothing, since the other may have
-// sent.
+// attempts of both, since what each was about to do may be done. Of their outcomes a value counts first,
+// since only a proposer whose attempt was committed can have one; a reject counts for nothing, since the
+// other may have sent.
 RecordState MergeConcurrent(const RecordState& one, const RecordState& other);
 // Two replicas' answers count together only if neither has met a later life of the other.
 inline bool Agree(std::size_t one, const Lives& of_one, std::size_t other, const Lives& of_other) {
--- a/src/failover/record_proposer.cpp
+++ b/src/failover/record_proposer.cpp
@@ -50,7 +50,8 @@
 }
 
 bool RecordProposer::Waits(std::size_t replica, const Message& answer) const {
-  if (replica >= kReplicas || answer.operation != operation_ || answer.ballot != Ballot{round_, proposer_}) return false;
+  if (replica >= kReplicas || answer.operation != operation_ || answer.ballot != Ballot{round_, proposer_})
+    return false;
   // A replica that has restarted answers again.
   if (yes_[replica] && answer.lives[replica] <= lives_[replica][replica]) return false;
   if (answer.kind == Kind::kNack && (yes_[replica] || no_[replica])) return false;
--- a/src/failover/record_proposer.h
+++ b/src/failover/record_proposer.h
@@ -1,7 +1,7 @@
 // One process's proposals on the record of one operation: it writes the record at a majority of the replicas
-// before anything is sent or answered, and learns when another has taken the operation over. Whether to try, and
-// when, is the caller's: the argument rests on none of it. Replicas are numbered from 0; the caller carries
-// messages to them.
+// before anything is sent or answered, and learns when another has taken the operation over. Whether to try,
+// and when, is the caller's: the argument rests on none of it. Replicas are numbered from 0; the caller
+// carries messages to them.
 //
 //   idle --Write--> writing --majority--> owner --Write--> writing ...
 //   idle, lost --Ask--> preparing --majority--> read --Write--> writing
@@ -26,12 +26,14 @@
     Message message;
   };
 
-  RecordProposer(std::string operation, Proposer proposer) : operation_(std::move(operation)), proposer_(std::move(proposer)) {}
+  RecordProposer(std::string operation, Proposer proposer)
+      : operation_(std::move(operation)), proposer_(std::move(proposer)) {}
 
   // Asks for the promises of a higher round than any that it has met.
   void Ask(Time now, std::vector<Outgoing>& out);
-  // For an operation that this process knows nothing of; as owner or after read; or in place of a write that is
-  // not committed. `next` is built upon state(). An attempt that is left out of `next` must not be sent any more.
+  // For an operation that this process knows nothing of; as owner or after read; or in place of a write that
+  // is not committed. `next` is built upon state(). An attempt that is left out of `next` must not be sent
+  // any more.
   void Write(Time now, RecordState next, std::vector<Outgoing>& out);
   // What it asks for next is above that ballot, as if it had met it.
   void Above(const Ballot& met) { met_ = std::max(met_, met); }
@@ -44,12 +46,13 @@
   const RecordState& state() const { return state_; }
   const std::string& operation() const { return operation_; }
   const Proposer& proposer() const { return proposer_; }
-  // As owner: since it asked for what is now committed. Who is about to send and finds this too long asks again.
+  // As owner: since it asked for what is now committed. Who is about to send and finds this too long asks
+  // again.
   Span since(Time now) const { return now - asked_; }
   // Since the first attempt was recorded, never less than that: what a window is counted by.
   Span age(Time now) const { return state_.attempts.empty() ? Span{} : now - first_; }
-  // Lost: whom the operation belongs to, as far as is known; and whether another has it, or replicas were only
-  // full, recovering or silent.
+  // Lost: whom the operation belongs to, as far as is known; and whether another has it, or replicas were
+  // only full, recovering or silent.
   const Ballot& met() const { return met_; }
   bool preempted() const { return preempted_; }
   // Whether an answer of that replica could change anything, now or later.
--- a/src/failover/record_reader.cpp
+++ b/src/failover/record_reader.cpp
@@ -16,8 +16,8 @@
 }
 
 bool RecordReader::Waits(std::size_t replica, const Message& answer) const {
-  return replica < kReplicas && !seen_[replica] && answer.kind == Kind::kReadResult && answer.operation == operation_ &&
-         answer.ballot == Ballot{round_, proposer_};
+  return replica < kReplicas && !seen_[replica] && answer.kind == Kind::kReadResult &&
+         answer.operation == operation_ && answer.ballot == Ballot{round_, proposer_};
 }
 
 void RecordReader::Take(std::size_t replica, const Message& answer) {
--- a/src/failover/record_reader.h
+++ b/src/failover/record_reader.h
@@ -1,5 +1,5 @@
-// Reads a record without taking part: asks nobody for a promise, so it hinders nobody. For a router that waits for
-// an operation that another has.
+// Reads a record without taking part: asks nobody for a promise, so it hinders nobody. For a router that
+// waits for an operation that another has.
 #pragma once
 
 #include <array>
@@ -14,7 +14,8 @@
 class RecordReader {
  public:
   // `proposer` tells one reader from another: of one process, no two have the same.
-  RecordReader(std::string operation, Proposer proposer) : operation_(std::move(operation)), proposer_(std::move(proposer)) {}
+  RecordReader(std::string operation, Proposer proposer)
+      : operation_(std::move(operation)), proposer_(std::move(proposer)) {}
 
   // Asks all replicas; what they answered before is forgotten.
   void Ask(std::vector<RecordProposer::Outgoing>& out);
@@ -24,10 +25,12 @@
   // The outcome, if it is committed: two replicas store one that is final, under one ballot. Such a state is
   // never replaced.
   const RecordState* Outcome() const;
-  // Whose operation it is, as far as two replicas have answered; nothing where they know of none, or have not.
+  // Whose operation it is, as far as two replicas have answered; nothing where they know of none, or have
+  // not.
   std::optional<Proposer> Owner() const;
   bool Released() const;  // by that owner
-  // Two replicas have answered, and neither knows of such an operation, or it was rejected: it may begin again.
+  // Two replicas have answered, and neither knows of such an operation, or it was rejected: it may begin
+  // again.
   bool Free() const;
 
  private:
--- a/src/failover/record_replica.cpp
+++ b/src/failover/record_replica.cpp
@@ -33,7 +33,8 @@
   return weight;
 }
 
-Message RecordReplica::ReplyWithState(Time now, Kind kind, const Message& asked, const StoredRecord& record) const {
+Message RecordReplica::ReplyWithState(Time now, Kind kind, const Message& asked,
+                                      const StoredRecord& record) const {
   Message answer = Answer(kind, asked);
   answer.kept = record.kept;
   answer.version = record.version;
@@ -48,7 +49,8 @@
   if (!Votes(now, asked.operation)) return MakeNack(asked, Nack::kRecovering);
   auto at = stored_.find(asked.operation);
   bool fresh = at == stored_.end();
-  if (asked.kind == Kind::kRead) return ReplyWithState(now, Kind::kReadResult, asked, fresh ? StoredRecord{} : at->second);
+  if (asked.kind == Kind::kRead)
+    return ReplyWithState(now, Kind::kReadResult, asked, fresh ? StoredRecord{} : at->second);
   if (!fresh) {
     const StoredRecord& record = at->second;
     const Ballot& highest = std::max(record.promised, record.kept);
@@ -61,8 +63,8 @@
   }
   std::size_t before = fresh ? 0 : Weight(asked.operation, at->second.state);
   std::size_t after = Weight(asked.operation, asked.kind == Kind::kAccept ? asked.state
-                                         : fresh                     ? RecordState{}
-                                                                     : at->second.state);
+                                              : fresh                     ? RecordState{}
+                                                                          : at->second.state);
   if (bytes_ - before + after > limits_.bytes && after > before) return MakeNack(asked, Nack::kFull);
   StoredRecord& record = stored_[asked.operation];
   record.last = now;
@@ -192,8 +194,8 @@
     record.state = MergeConcurrent(record.state, copy.state);
     record.kept = {0, {self_, life_, ~std::uint64_t{0}}};  // nobody's
     record.version = 1;
-  } else if (copy.version > 0 &&
-             (record.version == 0 || std::tie(copy.kept, copy.version) > std::tie(record.kept, record.version))) {
+  } else if (copy.version > 0 && (record.version == 0 || std::tie(copy.kept, copy.version) >
+                                                             std::tie(record.kept, record.version))) {
     record.kept = copy.kept;
     record.version = copy.version;
     record.state = copy.state;
--- a/src/failover/record_replica.h
+++ b/src/failover/record_replica.h
@@ -1,7 +1,7 @@
-// One of the three that store a record: it promises, accepts and answers with nacks. It never forgets a promise
-// within a record's lifetime. A process that has just started may have forgotten some: it votes for an operation
-// only once both the other replicas have transferred their state to it, all records that they share, or when no
-// record of before its start can be alive. One owner, one thread.
+// One of the three that store a record: it promises, accepts and answers with nacks. It never forgets a
+// promise within a record's lifetime. A process that has just started may have forgotten some: it votes for
+// an operation only once both the other replicas have transferred their state to it, all records that they
+// share, or when no record of before its start can be alive. One owner, one thread.
 #pragma once
 
 #include <algorithm>
@@ -28,10 +28,15 @@
  public:
   // The replicas of an operation, by name, in the one order.
   using ReplicasFor = std::function<std::array<std::string, kReplicas>(const std::string& operation)>;
-  // `now`: of the process's start. `life`: higher than that of any start before. Without `replicas_for` nobody is
-  // asked for a state transfer.
-  RecordReplica(RecordLimits limits, Time now, std::string self = {}, std::uint64_t life = 0, ReplicasFor replicas_for = {})
-      : limits_(limits), started_(now), self_(std::move(self)), life_(life), replicas_for_(std::move(replicas_for)) {}
+  // `now`: of the process's start. `life`: higher than that of any start before. Without `replicas_for`
+  // nobody is asked for a state transfer.
+  RecordReplica(RecordLimits limits, Time now, std::string self = {}, std::uint64_t life = 0,
+                ReplicasFor replicas_for = {})
+      : limits_(limits),
+        started_(now),
+        self_(std::move(self)),
+        life_(life),
+        replicas_for_(std::move(replicas_for)) {}
 
   // The answer to a prepare, an accept or a read.
   Message Take(Time now, const Message& asked);
@@ -41,8 +46,8 @@
   // What to ask those whose state transfer is not complete for all; what came of requests before is dropped.
   Message RequestSync();
   bool HasSynced(const std::string& who) const { return HasSynced(who, "*"); }
-  // This one's state, for one that has restarted. From now on the asker's votes of former lives no longer count
-  // beside those of this one.
+  // This one's state, for one that has restarted. From now on the asker's votes of former lives no longer
+  // count beside those of this one.
   std::vector<Message> AnswerSync(Time now, const Message& asked);
   void HandleSync(Time now, const std::string& from, const Message& message);
   bool Votes(Time now, const std::string& operation) const;
@@ -80,8 +85,9 @@
   std::string self_;
   std::uint64_t life_ = 0, asked_ = 0;
   ReplicasFor replicas_for_;
-  std::map<std::string, std::uint64_t> noted_;            // lives of those that asked for a state transfer
-  std::map<std::string, std::set<std::string>> synced_;  // who, and for the operations of which third replicas
+  std::map<std::string, std::uint64_t> noted_;  // lives of those that asked for a state transfer
+  std::map<std::string, std::set<std::string>>
+      synced_;  // who, and for the operations of which third replicas
   std::map<std::string, IncomingSync> incoming_;
   std::map<std::string, StoredRecord> stored_;
   std::size_t bytes_ = 0;
--- a/src/failover/replica_set.h
+++ b/src/failover/replica_set.h
@@ -1,6 +1,6 @@
-// Which three replicas store the record of an operation: the highest by rendezvous hashing, in different zones
-// where there are as many. A function of the settings alone, so that all routers find the same ones whatever
-// they believe of each other.
+// Which three replicas store the record of an operation: the highest by rendezvous hashing, in different
+// zones where there are as many. A function of the settings alone, so that all routers find the same ones
+// whatever they believe of each other.
 #pragma once
 
 #include <array>
--- a/src/failover/wire.cpp
+++ b/src/failover/wire.cpp
@@ -15,20 +15,26 @@
 constexpr std::size_t kMostName = 64, kMostSyncs = 1024;
 constexpr std::uint64_t kMostAge = 86'400'000'000'000;  // ns: a day
 
-json ToJson(const Proposer& proposer) { return json::array({proposer.name, proposer.life, proposer.proposal}); }
+json ToJson(const Proposer& proposer) {
+  return json::array({proposer.name, proposer.life, proposer.proposal});
+}
 json ToJson(const Ballot& ballot) { return json::array({ballot.round, ToJson(ballot.proposer)}); }
 json ToJson(const RecordState& state) {
   json attempts = json::array();
   for (const AttemptRecord& attempt : state.attempts)
-    attempts.push_back(json::array({ToJson(attempt.by), attempt.number, attempt.server, attempt.may_have_run}));
-  return json::array(
-      {std::move(attempts), static_cast<unsigned>(state.outcome), net::Blob(state.value), state.kept, state.released});
+    attempts.push_back(
+        json::array({ToJson(attempt.by), attempt.number, attempt.server, attempt.may_have_run}));
+  return json::array({std::move(attempts), static_cast<unsigned>(state.outcome), net::Blob(state.value),
+                      state.kept, state.released});
 }
 
 bool Read(const json* from, Proposer& proposer) {
   if (from == nullptr) return false;
   FieldReader fields(*from);
-  return fields.Text(proposer.name, kMostName).Number(proposer.life, kAny).Number(proposer.proposal, kAny).fine();
+  return fields.Text(proposer.name, kMostName)
+      .Number(proposer.life, kAny)
+      .Number(proposer.proposal, kAny)
+      .fine();
 }
 bool Read(const json* from, Ballot& ballot) {
   if (from == nullptr) return false;
@@ -44,7 +50,10 @@
     AttemptRecord& attempt = state.attempts.emplace_back();
     FieldReader of_attempt(one);
     if (!Read(of_attempt.Next(), attempt.by)) return false;
-    if (!of_attempt.Number(attempt.number, 0xffffffffu).Text(attempt.server, 256).Flag(attempt.may_have_run).fine())
+    if (!of_attempt.Number(attempt.number, 0xffffffffu)
+             .Text(attempt.server, 256)
+             .Flag(attempt.may_have_run)
+             .fine())
       return false;
   }
   return fields.Number(state.outcome, static_cast<std::uint64_t>(OperationOutcome::kRejected))
@@ -57,7 +66,8 @@
   FieldReader fields(from);
   fields.Number(m.kind, static_cast<std::uint64_t>(Kind::kSyncRecord)).Text(m.operation, kMaxOperationKey);
   bool of_no_operation = m.kind == Kind::kSyncRequest || m.kind == Kind::kSyncDone;
-  if (!fields.fine() || m.operation.empty() != of_no_operation || !Read(fields.Next(), m.ballot)) return false;
+  if (!fields.fine() || m.operation.empty() != of_no_operation || !Read(fields.Next(), m.ballot))
+    return false;
   std::uint64_t age = 0;
   fields.Number(m.version, 0xffffffffu).Number(age, kMostAge);
   fields.Number(m.nack, static_cast<std::uint64_t>(Nack::kFull));
@@ -68,8 +78,7 @@
   for (std::uint64_t& life : m.lives) fields.Number(life, kAny);
   fields.Flag(m.copied);
   const json* syncs = fields.Next();
-  if (!fields.fine() || syncs == nullptr || !syncs->is_array() || syncs->size() > kMostSyncs)
-    return false;
+  if (!fields.fine() || syncs == nullptr || !syncs->is_array() || syncs->size() > kMostSyncs) return false;
   for (const json& one : *syncs) {
     if (!one.is_string() || one.get_ref<const std::string&>().size() > kMostName) return false;
     m.syncs.push_back(one.get<std::string>());
@@ -97,7 +106,8 @@
   std::size_t size = 96 + m.operation.size() + m.state.value.size() + proposer(m.ballot.proposer) +
                      proposer(m.kept.proposer) + proposer(m.promised.proposer);
   for (const std::string& name : m.syncs) size += 2 + name.size();
-  for (const AttemptRecord& attempt : m.state.attempts) size += 16 + proposer(attempt.by) + attempt.server.size();
+  for (const AttemptRecord& attempt : m.state.attempts)
+    size += 16 + proposer(attempt.by) + attempt.server.size();
   return size;
 }
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -113,7 +113,8 @@
   std::string at;
   bool as_json = false;
   auto* peers = app.add_subcommand("peers", "show what a running router sees of its fleet");
-  auto* failover = app.add_subcommand("failover", "show the operations that a running router records with others");
+  auto* failover =
+      app.add_subcommand("failover", "show the operations that a running router records with others");
   // To be taken out after two releases.
   app.add_subcommand("work", "renamed to failover")->group("")->allow_extras()->callback([] {
     throw CLI::ParseError("work: renamed to failover", CLI::ExitCodes::ExtrasError);
--- a/src/rations/office.h
+++ b/src/rations/office.h
@@ -14,11 +14,11 @@
 #include <utility>
 #include <vector>
 
+#include "failover/replica_set.h"
 #include "rations/fence.h"
 #include "rations/keeper.h"
 #include "rations/kept.h"
 #include "rations/purse.h"
-#include "failover/replica_set.h"
 
 namespace peatbend::rations {
 
--- a/src/router/overload_office.cpp
+++ b/src/router/overload_office.cpp
@@ -6,8 +6,8 @@
 #include <cmath>
 
 #include "base/nonce.h"
-#include "overload/parcel.h"
 #include "failover/replica_set.h"
+#include "overload/parcel.h"
 
 namespace peatbend::net {
 namespace {
--- a/src/router/work_in_hand.h
+++ b/src/router/work_in_hand.h
@@ -1,5 +1,5 @@
-// A router's part in the operations of its fleet: its ownership manager, driven by the loop, and the way to the
-// others' by its peers. Switched off it is not made at all.
+// A router's part in the operations of its fleet: its ownership manager, driven by the loop, and the way to
+// the others' by its peers. Switched off it is not made at all.
 #pragma once
 
 #include <cstdint>
@@ -10,10 +10,10 @@
 #include "base/event_handles.h"
 #include "base/log.h"
 #include "config/config.h"
+#include "failover/ownership_manager.h"
 #include "peers/peers.h"
 #include "stage/decision.h"
 #include "stage/keeping.h"
-#include "failover/ownership_manager.h"
 
 namespace peatbend::net {
 
--- a/src/stage/keeping.h
+++ b/src/stage/keeping.h
@@ -1,13 +1,12 @@
-// What the stage asks before it sends and before it answers, where operations are to outlive their router. Which
-// member, whether again and with what outcome stays the module's; here is only whether it may happen now, and
-// whether another has the operation. The answers come through Decision::MaySend and
-// Decision::Close.
+// What the stage asks before it sends and before it answers, where operations are to outlive their router.
+// Which member, whether again and with what outcome stays the module's; here is only whether it may happen
+// now, and whether another has the operation. The answers come through Decision::MaySend and Decision::Close.
 #pragma once
 
 #include <string>
 
-#include "protocol/request.h"
 #include "failover/record.h"
+#include "protocol/request.h"
 
 namespace peatbend::net {
 
--- a/tests/failover/failover_simulation.h
+++ b/tests/failover/failover_simulation.h
@@ -1,5 +1,6 @@
-// Routers' ownership managers on simulated links and clocks, with clients that come back and one server that counts
-// effects. The same seed gives the same run. The rules are checked on what the server and the clients see.
+// Routers' ownership managers on simulated links and clocks, with clients that come back and one server that
+// counts effects. The same seed gives the same run. The rules are checked on what the server and the clients
+// see.
 #pragma once
 
 #include <fmt/format.h>
@@ -10,9 +11,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/rules.h"
 #include "failover/ownership_manager.h"
 #include "failover/wire.h"
+#include "lab/rules.h"
 #include "world/agenda.h"
 #include "world/random.h"
 
@@ -32,7 +33,8 @@
  public:
   static constexpr Span kDeadline = 2500ms, kWindow = 1500ms;
 
-  explicit FailoverSimulation(WorldSetup setup) : setup_(setup), random_(setup.seed, 3), replica_set_(Names(setup.routers)) {
+  explicit FailoverSimulation(WorldSetup setup)
+      : setup_(setup), random_(setup.seed, 3), replica_set_(Names(setup.routers)) {
     routers_.resize(setup.routers);
     for (std::size_t r = 0; r < routers_.size(); ++r) Start(r, -1h);
   }
@@ -62,8 +64,8 @@
     OwnershipOptions options;
     options.serve_untracked = setup_.serve_untracked;
     options.limits.lifetime = 8s;
-    router.manager =
-        std::make_unique<OwnershipManager>(options, replica_set_, router.name, router.life, now, [this](const Proposer& proposer) {
+    router.manager = std::make_unique<OwnershipManager>(
+        options, replica_set_, router.name, router.life, now, [this](const Proposer& proposer) {
           auto at = dead_.find({proposer.name, proposer.life});
           return at != dead_.end() && this->now() >= at->second + setup_.notice;
         });
@@ -77,7 +79,8 @@
     cut ? (void)cuts_.insert({from, to}) : (void)cuts_.erase({from, to});
   }
 
-  // A client's operation; it comes back to another router when the one that it asked is lost, as its class allows.
+  // A client's operation; it comes back to another router when the one that it asked is lost, as its class
+  // allows.
   void Ask(Effect effect) {
     Operation operation;
     operation.cls.effect = effect;
@@ -181,7 +184,8 @@
   // Its router was killed: it asks another a little later.
   void ClientLost(std::size_t w) {
     Operation& operation = operations_[w];
-    if (operation.left - now() >= 2s && operation.outcome.empty()) operation.router_lost = true, operation.lost_at = now();
+    if (operation.left - now() >= 2s && operation.outcome.empty())
+      operation.router_lost = true, operation.lost_at = now();
     agenda_.In(20ms + Any(80ms), [this, w] { AskAt(w, Live()); });
   }
   Span Any(Span most) {
@@ -209,7 +213,8 @@
     Router& router = routers_[r];
     if (!router.manager) return;
     std::map<std::string, std::vector<Message>> parcels;
-    for (OwnershipManager::Outgoing& out : router.manager->DrainOutgoing()) parcels[out.router].push_back(std::move(out.message));
+    for (OwnershipManager::Outgoing& out : router.manager->DrainOutgoing())
+      parcels[out.router].push_back(std::move(out.message));
     for (auto& [to, all] : parcels) Send(r, to, all);
     for (OwnershipManager::Result& result : router.manager->DrainResults()) OnResult(r, result);
     auto due = router.manager->Due();
@@ -263,7 +268,8 @@
         return;
       }
       Ran(operation);
-      std::string value = fmt::format("{}/{}", operation.id, operation.cls.effect == Effect::kKeyed ? 1 : operation.ran);
+      std::string value =
+          fmt::format("{}/{}", operation.id, operation.cls.effect == Effect::kKeyed ? 1 : operation.ran);
       agenda_.In(90ms + Any(90ms), [this, r, life, number = result.number, value] {
         On(r, life, [this, r, number, value] {
           routers_[r].manager->Finish(now(), number, OperationOutcome::kValue, value);
@@ -275,12 +281,14 @@
     router.askers.erase(at);
     if (result.outcome == OperationOutcome::kRejected) {
       ++operation.rejects;
-      if (operation.outcome.empty() && operation.tries < 20) agenda_.In(100ms, [this, w] { AskAt(w, Live()); });
+      if (operation.outcome.empty() && operation.tries < 20)
+        agenda_.In(100ms, [this, w] { AskAt(w, Live()); });
       return;
     }
     bool own = !result.committed;  // says nothing of the operation
     std::string text = result.outcome == OperationOutcome::kValue ? "value " + result.value : "failed";
-    if (!own && !operation.outcome.empty() && operation.outcome != text && operation.outcome != "failed late") ++sum_.two_ends;
+    if (!own && !operation.outcome.empty() && operation.outcome != text && operation.outcome != "failed late")
+      ++sum_.two_ends;
     if (operation.outcome.empty()) {
       operation.outcome = own ? "failed late" : text;
       if (operation.router_lost) answered_after.push_back(now() - operation.lost_at);
--- a/tests/failover/ownership_test.cpp
+++ b/tests/failover/ownership_test.cpp
@@ -5,7 +5,8 @@
 namespace peatbend::failover::test {
 namespace {
 
-FailoverSimulation::Outcome Play(FailoverSimulation& world, double per_second, Span lasts, bool kills, bool stalls, bool cuts) {
+FailoverSimulation::Outcome Play(FailoverSimulation& world, double per_second, Span lasts, bool kills,
+                                 bool stalls, bool cuts) {
   std::size_t routers = world.size();
   Span each = Span(static_cast<Span::rep>(1e9 / per_second));
   int n = 0;
--- a/tests/net/config_test.cpp
+++ b/tests/net/config_test.cpp
@@ -149,7 +149,8 @@
         {"replicas = [\"a/x\", \"b\", \"a/y\"]\n", "failover.replicas: a twice"},
         {"replicas = [\"a\", \"b\", \"/x\"]\n", "failover.replicas: \"NAME/ZONE\" expected"},
         {"replicas = \"a\"\n", "failover.replicas: a list of NAME/ZONE expected"},
-        {"replica = [\"a\"]\n", "failover.replica: not known; the nearest known name is failover.replicas"}}) {
+        {"replica = [\"a\"]\n",
+         "failover.replica: not known; the nearest known name is failover.replicas"}}) {
     CAPTURE(failover);
     CHECK(fault(failover).find(key) != std::string::npos);
   }
@@ -208,8 +209,9 @@
   std::string bad = file_of("book reads 1\nration all { counts everything;\n  rate never; }\n");
   const std::string seats = "seats = [\"a/x\", \"b/y\", \"c\"]\n", book = "book = \"" + good + "\"\n";
   CHECK(fault(book + seats) == "none");
-  Config read =
-      ReadConfig({.toml = kSound + peers + "[failover]\nreplicas = [\"a/x\", \"b/y\", \"c\"]\n[rations]\n" + book}, NoVariable);
+  Config read = ReadConfig(
+      {.toml = kSound + peers + "[failover]\nreplicas = [\"a/x\", \"b/y\", \"c\"]\n[rations]\n" + book},
+      NoVariable);
   REQUIRE(read.rations.table != nullptr);
   CHECK(read.rations.table->rations.size() == 1);
   CHECK(read.rations.seats == read.failover.replicas);
--- a/tests/orders/failover_model.cpp
+++ b/tests/orders/failover_model.cpp
@@ -1,4 +1,5 @@
-// The model of an operation's replicas and routers: what may happen next, what is in flight, and what replicas do with it.
+// The model of an operation's replicas and routers: what may happen next, what is in flight, and what
+// replicas do with it.
 #include "orders/failover_model.h"
 
 #include <algorithm>
@@ -15,7 +16,7 @@
   }
   for (int r = 0; r < setup.routers; ++r) {
     Router router{OperationOwnership("w", {"r" + std::to_string(r), 7, 1},
-                          setup.mutant == Mutant::kOldPermission ? failover::Span(1h) : kWithin),
+                                     setup.mutant == Mutant::kOldPermission ? failover::Span(1h) : kWithin),
                   true,
                   r > 0 || setup.back ? setup.tries : 0,
                   false,
@@ -49,7 +50,8 @@
       if (setup_.lost_dials) may(name + ": never ran", [r](FailoverModel& t) { t.Settle(r, false, false); });
     }
     auto phase = router.ownership.record().phase();
-    if (router.tries > 0 && (phase == RecordProposer::Phase::kLost || (phase == RecordProposer::Phase::kIdle && r > 0))) {
+    if (router.tries > 0 &&
+        (phase == RecordProposer::Phase::kLost || (phase == RecordProposer::Phase::kIdle && r > 0))) {
       may(name + " tries", [r](FailoverModel& t) {
         t.Change(r, [&](Router& one, Outs& out) {
           --one.tries;
@@ -90,7 +92,8 @@
       t.seen_.fill(0);
       Outs out;
       t.reader_.Ask(out);
-      for (RecordProposer::Outgoing& one : out) t.Post(true, t.routers_.size(), one.replica, std::move(one.message));
+      for (RecordProposer::Outgoing& one : out)
+        t.Post(true, t.routers_.size(), one.replica, std::move(one.message));
     });
   if (budget_.passes > 0)
     may("time passes", [](FailoverModel& t) {
@@ -128,7 +131,8 @@
   return XXH3_64bits(all.data(), all.size() * sizeof all[0]);
 }
 
-failover::RecordReplica FailoverModel::Fresh(std::size_t s, std::uint64_t life, failover::Time started) const {
+failover::RecordReplica FailoverModel::Fresh(std::size_t s, std::uint64_t life,
+                                             failover::Time started) const {
   if (setup_.syncs == 0) return failover::RecordReplica({}, started);
   return failover::RecordReplica({}, started, NameOf(s), life, [](const std::string&) {
     return std::array<std::string, failover::kReplicas>{NameOf(0), NameOf(1), NameOf(2)};
@@ -138,7 +142,8 @@
 void FailoverModel::Carry(std::size_t from, std::size_t to, std::vector<Message> messages) {
   std::string bytes{'w', static_cast<char>(from), static_cast<char>(to)};
   for (const Message& message : messages) failover::Put(bytes, message);
-  syncs_.push_back(std::make_shared<const SyncMessages>(SyncMessages{from, to, std::move(messages), Hash(bytes)}));
+  syncs_.push_back(
+      std::make_shared<const SyncMessages>(SyncMessages{from, to, std::move(messages), Hash(bytes)}));
 }
 
 void FailoverModel::RequestSyncs(std::size_t s) {
@@ -162,7 +167,8 @@
     }
     Carry(sync->to, sync->from, std::move(answer));
   } else {
-    for (const Message& message : sync->messages) replica.acceptor.HandleSync(now_, NameOf(sync->from), message);
+    for (const Message& message : sync->messages)
+      replica.acceptor.HandleSync(now_, NameOf(sync->from), message);
     if (setup_.mutant == Mutant::kOneSync) {
       for (const Message& message : sync->messages)
         replica.acceptor.HandleSync(now_, NameOf(3 - sync->from - sync->to), message);
@@ -233,8 +239,9 @@
     Replica replica = *replicas_[parcel->replica];
     Post(false, parcel->router, parcel->replica, replica.acceptor.Take(now_, parcel->message));
     replicas_[parcel->replica] = Of(std::move(replica));
-    std::erase_if(bag_,
-                  [&](const auto& one) { return one->to_replica && one->replica == parcel->replica && Idle(*one); });
+    std::erase_if(bag_, [&](const auto& one) {
+      return one->to_replica && one->replica == parcel->replica && Idle(*one);
+    });
     return Committed(parcel->message);
   }
   if (parcel->router == routers_.size()) {
--- a/tests/orders/failover_model.h
+++ b/tests/orders/failover_model.h
@@ -1,6 +1,7 @@
-// An operation's three replicas and the routers that have to do with it, all of them the real code, in a place where
-// messages are delivered in any order, twice, or never, processes die or restart with nothing in memory,
-// and time passes. A router here does what the decision module would; the rules are checked as things happen.
+// An operation's three replicas and the routers that have to do with it, all of them the real code, in a
+// place where messages are delivered in any order, twice, or never, processes die or restart with nothing in
+// memory, and time passes. A router here does what the decision module would; the rules are checked as things
+// happen.
 #pragma once
 
 #include <xxhash.h>
@@ -16,17 +17,17 @@
 #include <vector>
 
 #include "failover/operation_ownership.h"
-#include "failover/record_replica.h"
 #include "failover/record_reader.h"
+#include "failover/record_replica.h"
 
 namespace peatbend::orders {
 
 using namespace std::chrono_literals;
-using failover::RecordProposer;
+using failover::Message;
+using failover::OperationOutcome;
 using failover::OperationOwnership;
 using failover::OwnershipResult;
-using failover::OperationOutcome;
-using failover::Message;
+using failover::RecordProposer;
 
 // Known bugs, which the search must find.
 enum class Mutant {
@@ -37,7 +38,7 @@
   kTellsFirst,     // answers before the outcome is committed
   kOldPermission,  // sends on a permission that has long been waited for
   kSendsFirst,     // sends before the record is committed
-  kOneReplica,        // takes the answer of one replica for those of a majority
+  kOneReplica,     // takes the answer of one replica for those of a majority
   kOneWriter,      // reads of several first writers only the highest
   kFormerLives,    // counts a vote though the replica has restarted since, and been given the others' state
   kOneSync,        // votes after the state transfer of one
--- a/tests/orders/failover_model_router.cpp
+++ b/tests/orders/failover_model_router.cpp
@@ -17,7 +17,8 @@
   if (has == failover::kMajority && ran) Broken("rejected what may have run");
 }
 
-void FailoverModel::Take(std::size_t r, Router& router, std::size_t replica, const Message& message, Outs& out) {
+void FailoverModel::Take(std::size_t r, Router& router, std::size_t replica, const Message& message,
+                         Outs& out) {
   switch (router.ownership.Take(now_, replica, message, out)) {
     case OwnershipResult::kSend:
       if (setup_.mutant != Mutant::kSendsFirst) Send(r, router);
@@ -57,7 +58,8 @@
   failover::RecordState state = router.ownership.Known();
   if (setup_.mutant == Mutant::kOneWriter && !state.attempts.empty())
     state.attempts.erase(state.attempts.begin(), state.attempts.end() - 1);
-  if (state.outcome == OperationOutcome::kRejected && !(setup_.second_asker && r == 1))  // nobody here has asked anew
+  if (state.outcome == OperationOutcome::kRejected &&
+      !(setup_.second_asker && r == 1))  // nobody here has asked anew
     return router.ownership.Finish(now_, OperationOutcome::kRejected, "", out);
   switch (NextAction(state, cls_, age, kWithin)) {
     case failover::RecoveryAction::kFail:
@@ -85,11 +87,13 @@
     }
     auto known = router.ownership.record();
     failover::Span age = setup_.mutant == Mutant::kWindowAnew ? failover::Span{} : known.age(now_);
-    bool nothing_ran = !ran && NextAction(router.ownership.Known(), cls_, age, kWithin) == failover::RecoveryAction::kSend;
+    bool nothing_ran =
+        !ran && NextAction(router.ownership.Known(), cls_, age, kWithin) == failover::RecoveryAction::kSend;
     bool repeat = nothing_ran || (cls_.effect == Effect::kKeyed && age + kWithin < cls_.window);
     if (repeat && !std::exchange(router.again, true) && known.phase() != RecordProposer::Phase::kLost)
       return Want(r, router, out);
-    router.ownership.Finish(now_, nothing_ran ? OperationOutcome::kRejected : OperationOutcome::kFailed, "", out);
+    router.ownership.Finish(now_, nothing_ran ? OperationOutcome::kRejected : OperationOutcome::kFailed, "",
+                            out);
   });
 }
 
--- a/tests/orders/failover_test.cpp
+++ b/tests/orders/failover_test.cpp
@@ -7,9 +7,9 @@
 #include <random>
 #include <set>
 
-#include "orders/orders.h"
-#include "orders/failover_model.h"
 #include "failover/replica_set.h"
+#include "orders/failover_model.h"
+#include "orders/orders.h"
 
 namespace peatbend::orders {
 namespace {
@@ -64,8 +64,8 @@
   }
   std::chrono::duration<double> took = std::chrono::steady_clock::now() - from;
   std::cout << name << ": " << found.states << " states" << (found.states < most ? ", all there are" : "")
-            << ", " << found.ended << " with an outcome told, " << found.sent_twice << " with a second attempt, "
-            << took.count() << " s\n";
+            << ", " << found.ended << " with an outcome told, " << found.sent_twice
+            << " with a second attempt, " << took.count() << " s\n";
   EXPECT_EQ(found.broken, "") << found.way;
   EXPECT_GT(found.states, kMost / 5);
   EXPECT_GT(found.ended, 0u);
