--- a/src/base/memory_budget.h
+++ b/src/base/memory_budget.h
@@ -1,4 +1,4 @@
-// The memory that large values may take, over all transactions, and what is booked on it.
+// The memory that large values may take, over all requests, and what is reserved of it.
 #pragma once
 
 #include <algorithm>
@@ -12,26 +12,26 @@
   std::size_t free() const { return most - std::min(most, held); }
 };
 
-// Bytes of the budget, given back when it goes. The budget must outlive it.
-class Booking {
+// Bytes of the budget, given back at its end. The budget must outlive it.
+class MemoryReservation {
  public:
-  Booking() = default;
-  explicit Booking(MemoryBudget& budget) : budget_(&budget) {}
-  Booking(Booking&& other) noexcept
+  MemoryReservation() = default;
+  explicit MemoryReservation(MemoryBudget& budget) : budget_(&budget) {}
+  MemoryReservation(MemoryReservation&& other) noexcept
       : budget_(std::exchange(other.budget_, nullptr)), size_(std::exchange(other.size_, 0)) {}
-  Booking& operator=(Booking&& other) noexcept {
+  MemoryReservation& operator=(MemoryReservation&& other) noexcept {
     std::swap(budget_, other.budget_);
     std::swap(size_, other.size_);
     return *this;
   }
-  ~Booking() { Set(0); }
+  ~MemoryReservation() { Set(0); }
   std::size_t size() const { return size_; }
-  // Books `size` in all, whether there is room or not.
+  // Reserves `size` in all, whether there is room or not.
   void Set(std::size_t size) {
     if (budget_ != nullptr) budget_->held = budget_->held - size_ + size;
     size_ = size;
   }
-  // Books `size` in all, where there is room or nothing else is booked.
+  // Reserves `size` in all, where there is room or nothing else is reserved.
   bool Try(std::size_t size) {
     if (size > size_ && budget_->held > 0 && size - size_ > budget_->free()) return false;
     Set(size);
--- a/src/compat/wire.h
+++ b/src/compat/wire.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <string_view>
 
-#include "base/cargo.h"
-#include "takeover/record.h"
+#include "base/decode_error.h"
+#include "failover/record.h"
 
 namespace peatbend::compat {
 
@@ -17,7 +17,7 @@
 constexpr std::size_t kMostChunk = 512u << 10;
 
 enum class SayKind : std::uint8_t {
-  kRegister,      // bytes: takeover's message, to a seat or from one
+  kRegister,      // bytes: failover's message, to a seat or from one
   kAskFound,      // number: the asker's founding
   kFound,         // the same number: this seat knows of no other founding of the asker's
   kNotFound,      // it does
@@ -31,15 +31,15 @@
 struct Say {
   SayKind kind = SayKind::kRegister;
   std::uint64_t number = 0, print = 0, at = 0, total = 0;
-  takeover::Ballot ballot;
+  failover::Ballot ballot;
   std::string bytes;
 };
 
-// `seats`: takeover::Seats::print() of the sender; who reckons with other seats is not listened to.
+// `seats`: failover::ReplicaSet::print() of the sender; who reckons with other seats is not listened to.
 std::string Encode(std::uint64_t seats, const Say& say);
-using net::Fault;
+using net::DecodeError;
 // Reads what a stranger may have written. Never throws.
-Fault Decode(std::string_view bytes, std::uint64_t seats, Say& say);
+DecodeError Decode(std::string_view bytes, std::uint64_t seats, Say& say);
 
 // What a seat has promised and accepted; what it has told others that start anew. A seat that is started with
 // all of it again has forgotten nothing.
@@ -47,7 +47,7 @@
   bool sits = false;           // it votes
   std::uint64_t life = 0;      // of its last start
   std::uint64_t founding = 0;  // its own, as it was told to the others; 0: none
-  takeover::Ballot promised, kept;
+  failover::Ballot promised, kept;
   std::uint32_t version = 0;  // 0: nothing is kept
   std::string value;
   std::map<std::string, std::uint64_t> words;      // lives of those that asked for this one's word
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -12,8 +12,8 @@
 
 #include "base/tuning.h"
 #include "compat/covers.h"
+#include "discovery/server_list.h"
 #include "peatbend/balancer.h"
-#include "pool/pool_list.h"
 #include "rations/table.h"
 
 namespace peatbend {
@@ -36,7 +36,7 @@
   std::uint64_t seed = 0;
   double cores = 1;
   std::int64_t memory_mb = 192, sockets = 1024;
-  net::PoolList known;
+  net::ServerList known;
   net::Tuning tuning;
   Settings settings;
   struct Peers {  // off where `listen` is empty
@@ -44,11 +44,11 @@
     std::vector<std::string> seeds;
     bool operator==(const Peers&) const = default;
   } peers;
-  struct Takeover {                  // off where there are no seats
-    std::vector<std::string> seats;  // NAME/ZONE
-    std::string alone = "reject";    // or "serve"
-    bool operator==(const Takeover&) const = default;
-  } takeover;
+  struct Failover {                     // off where no replicas are set
+    std::vector<std::string> replicas;  // NAME/ZONE
+    std::string no_quorum = "reject";   // or "serve"
+    bool operator==(const Failover&) const = default;
+  } failover;
   struct Rations {                                // off where there is no book
     std::string book;                             // the file's path
     std::vector<std::string> seats;               // NAME/ZONE
--- a/src/config/keys.cpp
+++ b/src/config/keys.cpp
@@ -45,8 +45,10 @@
      Time{1, 60000, [](Tuning& t) -> net::Milliseconds& { return t.members.dial_timeout; }}},
     {"members.keepalive_ms",
      Time{10, 86400000, [](Tuning& t) -> net::Milliseconds& { return t.members.keepalive; }}},
-    {"pool.silence_ms", Time{100, 600000, [](Tuning& t) -> net::Milliseconds& { return t.pool.silence; }}},
-    {"pool.line_kb", WholeNumber{4, 65536, [](Tuning& t) -> std::int64_t& { return t.pool.line_kb; }}},
+    {"discovery.silence_ms",
+     Time{100, 600000, [](Tuning& t) -> net::Milliseconds& { return t.discovery.silence; }}},
+    {"discovery.list_kb",
+     WholeNumber{4, 65536, [](Tuning& t) -> std::int64_t& { return t.discovery.list_kb; }}},
     {"memory.unread_share", Share{[](Tuning& t) -> double& { return t.memory.unread_share; }}},
     {"stop.keep_listening_ms",
      Time{0, 60000, [](Tuning& t) -> net::Milliseconds& { return t.stop.keep_listening; }}},
@@ -59,14 +61,14 @@
     {"peers.suspicion_most_ms",
      Time{50, 600000, [](Tuning& t) -> net::Milliseconds& { return t.peers.suspicion_most; }}},
     {"peers.stall_ms", Time{150, 600000, [](Tuning& t) -> net::Milliseconds& { return t.peers.stall; }}},
-    {"takeover.send_within_ms",
-     Time{10, 60000, [](Tuning& t) -> net::Milliseconds& { return t.takeover.send_within; }}},
-    {"takeover.stands_within_ms",
-     Time{10, 60000, [](Tuning& t) -> net::Milliseconds& { return t.takeover.stands_within; }}},
-    {"takeover.ends_within_ms",
-     Time{10, 60000, [](Tuning& t) -> net::Milliseconds& { return t.takeover.ends_within; }}},
-    {"takeover.linger_ms",
-     Time{100, 3600000, [](Tuning& t) -> net::Milliseconds& { return t.takeover.linger; }}},
+    {"failover.send_permit_ms",
+     Time{10, 60000, [](Tuning& t) -> net::Milliseconds& { return t.failover.send_permit; }}},
+    {"failover.commit_timeout_ms",
+     Time{10, 60000, [](Tuning& t) -> net::Milliseconds& { return t.failover.commit_timeout; }}},
+    {"failover.outcome_timeout_ms",
+     Time{10, 60000, [](Tuning& t) -> net::Milliseconds& { return t.failover.outcome_timeout; }}},
+    {"failover.retain_ms",
+     Time{100, 3600000, [](Tuning& t) -> net::Milliseconds& { return t.failover.retain; }}},
     {"rations.draw_ms", Time{1, 1000, [](Tuning& t) -> net::Milliseconds& { return t.rations.draw; }}},
     {"rations.again_ms", Time{5, 10000, [](Tuning& t) -> net::Milliseconds& { return t.rations.again; }}},
     {"rations.alone_after_ms",
@@ -78,6 +80,18 @@
      WholeNumber{1, 100000, [](Tuning& t) -> std::int64_t& { return t.overload.dials_per_second; }}},
 };
 
+// To be taken out after two releases.
+constexpr RenamedKey kRenamed[] = {
+    {"pool.silence_ms", "discovery.silence_ms"},
+    {"pool.line_kb", "discovery.list_kb"},
+    {"takeover.seats", "failover.replicas"},
+    {"takeover.alone", "failover.no_quorum"},
+    {"takeover.send_within_ms", "failover.send_permit_ms"},
+    {"takeover.stands_within_ms", "failover.commit_timeout_ms"},
+    {"takeover.ends_within_ms", "failover.outcome_timeout_ms"},
+    {"takeover.linger_ms", "failover.retain_ms"},
+};
+
 constexpr std::string_view kDeployment[] = {"classes.*.name",
                                             "classes.*.objective",
                                             "classes.*.deadline",
@@ -150,6 +164,13 @@
 
 std::span<const TuningKey> TuningKeys() { return kKeys; }
 
+std::span<const RenamedKey> RenamedKeys() { return kRenamed; }
+
+std::string_view NewName(std::string_view old_name) {
+  const RenamedKey* found = std::ranges::find(kRenamed, old_name, &RenamedKey::old_name);
+  return found == std::end(kRenamed) ? std::string_view() : found->new_name;
+}
+
 std::string Shown(const TuningKey& key, const Tuning& tuning) {
   Tuning copy = tuning;
   return std::visit(Overloaded{[&](const WholeNumber& n) { return fmt::format("{}", n.at(copy)); },
--- a/src/member/member_connections.cpp
+++ b/src/member/member_connections.cpp
@@ -185,8 +185,8 @@
 }
 
 MemberConnections::MemberConnections(event_base* base, const Settings& settings,
-                                     const Tuning::Members& tuning, SocketBudget& sockets, const Clock& clock,
-                                     Log& log, Counters& counters)
+                                     const Tuning::Backends& tuning, SocketBudget& sockets,
+                                     const Clock& clock, Log& log, Counters& counters)
     : base_(base),
       settings_(settings),
       tuning_(tuning),
@@ -195,11 +195,11 @@
       log_(log),
       counters_(counters) {}
 
-void MemberConnections::Learn(Scope scope, const std::vector<PoolEntry>& entries) {
+void MemberConnections::Learn(Scope scope, const std::vector<ServerListEntry>& entries) {
   if (scope == Scope::kFull || scope == Scope::kCached) {
     for (auto& [name, member] : members_) member.gone = true;
   }
-  for (const PoolEntry& entry : entries) {
+  for (const ServerListEntry& entry : entries) {
     Member& member = members_[entry.entry.id.name];
     member.name = entry.entry.id.name;
     member.gone = entry.entry.listed == Listed::kGone;
@@ -249,8 +249,8 @@
   Member& member = found->second;
   if (clock_.Now() > member.begin_until) return nullptr;
   MemberConnection* connection = nullptr;
-  ++counters_.flows;
-  if (member.origin) ++counters_.flows_to_origin;
+  ++counters_.attempts;
+  if (member.origin) ++counters_.attempts_to_origin;
   if ((connection = TakeIdle(member)) != nullptr) {
     ++counters_.reused;
   } else {
--- a/src/member/member_connections.h
+++ b/src/member/member_connections.h
@@ -15,9 +15,9 @@
 #include "base/log.h"
 #include "base/socket_budget.h"
 #include "base/tuning.h"
+#include "discovery/server_list.h"
 #include "member/attempt.h"
 #include "member/server_codec.h"
-#include "pool/pool_list.h"
 #include "protocol/request.h"
 
 namespace peatbend::net {
@@ -108,10 +108,10 @@
 
 class MemberConnections {
  public:
-  MemberConnections(event_base* base, const Settings& settings, const Tuning::Members& tuning,
+  MemberConnections(event_base* base, const Settings& settings, const Tuning::Backends& tuning,
                     SocketBudget& sockets, const Clock& clock, Log& log, Counters& counters);
 
-  void Learn(Scope scope, const std::vector<PoolEntry>& entries);
+  void Learn(Scope scope, const std::vector<ServerListEntry>& entries);
   // Null if no connection can be tried.
   MemberConnection* Begin(Attempt& attempt, const Request& request, AttemptTimes times);
   void CloseIdle(const std::string& member);
@@ -131,7 +131,7 @@
 
   event_base* base_;
   const Settings& settings_;
-  const Tuning::Members& tuning_;
+  const Tuning::Backends& tuning_;
   SocketBudget& sockets_;
   const Clock& clock_;
   Log& log_;
--- a/src/rations/wire.h
+++ b/src/rations/wire.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "base/cargo.h"
+#include "base/decode_error.h"
 #include "rations/message.h"
 
 namespace peatbend::rations {
@@ -20,7 +20,7 @@
 // Messages for one receiver, written one after another.
 class Parcel {
  public:
-  // `seats`: takeover::Seats::print() of the sender; who reckons with other seats is not listened to.
+  // `seats`: failover::ReplicaSet::print() of the sender; who reckons with other seats is not listened to.
   explicit Parcel(std::uint64_t seats) : seats_(seats) {}
   // False: with it the parcel would have more than `most` bytes, or too many messages, and stays as it was.
   // The first is always taken.
@@ -36,9 +36,9 @@
 };
 std::string Encode(std::uint64_t seats, const std::vector<Message>& messages);
 
-using net::Fault;
+using net::DecodeError;
 // Reads what a stranger may have written. Never throws; `messages` is whole where there is no fault, else
 // empty.
-Fault Decode(std::string_view bytes, std::uint64_t seats, std::vector<Message>& messages);
+DecodeError Decode(std::string_view bytes, std::uint64_t seats, std::vector<Message>& messages);
 
 }  // namespace peatbend::rations
--- a/src/router/figures.cpp
+++ b/src/router/figures.cpp
@@ -8,16 +8,16 @@
 namespace peatbend::net {
 
 void Router::PrintCounters() {
-  log_.Counts("counters", Describe(counters_));
-  if (peers_) log_.Counts("peers counters", peers_->Figures());
-  if (work_) log_.Counts("work counters", work_->Figures());
-  if (rations_) log_.Counts("rations counters", rations_->Figures());
-  if (publications_) log_.Counts("publications counters", publications_->Figures());
-  if (schemas_) log_.Counts("payloads counters", schemas_->Figures());
-  if (overload_) log_.Counts("overload counters", overload_->Figures());
+  log_.Metrics("counters", Describe(counters_));
+  if (peers_) log_.Metrics("peers counters", peers_->Figures());
+  if (work_) log_.Metrics("failover counters", work_->Figures());
+  if (rations_) log_.Metrics("rations counters", rations_->Figures());
+  if (publications_) log_.Metrics("publications counters", publications_->Figures());
+  if (schemas_) log_.Metrics("payloads counters", schemas_->Figures());
+  if (overload_) log_.Metrics("overload counters", overload_->Figures());
 }
 
-std::string Router::Work() { return work_ ? work_->Describe() : "fail takeover is off"; }
+std::string Router::Failover() { return work_ ? work_->Describe() : "fail failover is off"; }
 
 std::string Router::Peers() { return peers_ ? peers_->Describe() : "fail peers are off"; }
 
@@ -38,14 +38,14 @@
   auto cached = [this](const auto& one) {
     return !running_.settings.aside || one.second.entry.kind != running_.settings.origin_kind;
   };
-  add("targets", static_cast<std::uint64_t>(std::ranges::count_if(pool_.held(), cached)));
+  add("targets", static_cast<std::uint64_t>(std::ranges::count_if(discovery_watch_.held(), cached)));
   add("targets_disabled", decision_.balancer().avoided());
   auto part = [&add](const std::string& prefix, auto& of) {
     if (!of) return;
     for (const auto& [name, value] : of->Figures()) add(prefix + name, value);
   };
   part("peers.", peers_);
-  part("work.", work_);
+  part("failover.", work_);
   part("rations.", rations_);
   part("publications.", publications_);
   part("payloads.", schemas_);
--- a/src/router/overload_office.cpp
+++ b/src/router/overload_office.cpp
@@ -6,8 +6,8 @@
 #include <cmath>
 
 #include "base/nonce.h"
+#include "failover/replica_set.h"
 #include "overload/parcel.h"
-#include "takeover/seats.h"
 
 namespace peatbend::net {
 namespace {
@@ -42,7 +42,7 @@
       trials_(config.name, {}),
       returns_(config.name, {.per_second = static_cast<double>(config.tuning.overload.dials_per_second)}),
       tick_(base, [this] { Tick(); }) {
-  for (const std::string& seat : config.overload.seats) seats_.push_back(takeover::ReadSeat(seat).router);
+  for (const std::string& seat : config.overload.seats) seats_.push_back(failover::ParseReplica(seat).router);
   peers_.OnCargo(peers::Peers::Lane::kOverload,
                  [this](const std::string& from, const std::string& bytes) { Arrived(from, bytes); });
   decision_.Watch(this);
@@ -189,7 +189,7 @@
 
 // ---- Members that get nothing, or are back -------------------------------------------------------------
 
-void OverloadOffice::Pool(Scope scope, const std::vector<ServerEntry>& entries) {
+void OverloadOffice::ServerListChanged(Scope scope, const std::vector<ServerEntry>& entries) {
   if (scope == Scope::kFailed) return;
   std::map<std::uint32_t, Listing> before = members_;
   if (scope != Scope::kDelta) members_.clear();
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -52,16 +52,16 @@
   return socket;
 }
 
-PoolList Known(const Config& config, const std::optional<handover::Inheritance>& inherited, Log& log) {
+ServerList Known(const Config& config, const std::optional<handover::Inheritance>& inherited, Log& log) {
   if (!inherited) return config.known;
   // A version of another discovery means nothing to this one: the whole list is asked for.
   bool elsewhere = !inherited->discovery.empty() && inherited->discovery != config.discovery;
   std::int64_t index = elsewhere ? 0 : inherited->index;
   try {
-    return ReadPoolList({{"index", index}, {"snapshot", true}, {"endpoints", inherited->endpoints}},
-                        config.settings);
+    return ReadServerList({{"index", index}, {"snapshot", true}, {"endpoints", inherited->endpoints}},
+                          config.settings);
   } catch (const std::invalid_argument& error) {
-    log.Line("handover", std::string("the pool handed on cannot be used: ") + error.what());
+    log.Line("handover", std::string("the server list handed on cannot be used: ") + error.what());
     return config.known;
   }
 }
@@ -77,13 +77,13 @@
       room_known_(!inherited),
       connections_(base, running_.settings, running_.tuning.members, sockets_, clock_, log_, counters_),
       decision_(
-          base, running_.settings, config.seed, connections_, [this] { pool_.KeepWatching(); }, clock_, log_,
-          counters_),
-      pool_(base, config.discovery, running_.settings, running_.tuning.pool, Known(config, inherited, log_),
-            log_, counters_,
-            [this](Scope scope, std::vector<PoolEntry> entries) {
-              decision_.PoolNews(scope, std::move(entries));
-            }),
+          base, running_.settings, config.seed, connections_, [this] { discovery_watch_.KeepWatching(); },
+          clock_, log_, counters_),
+      discovery_watch_(base, config.discovery, running_.settings, running_.tuning.discovery,
+                       Known(config, inherited, log_), log_, counters_,
+                       [this](Scope scope, std::vector<ServerListEntry> entries) {
+                         decision_.ServerListChanged(scope, std::move(entries));
+                       }),
       successor_(base, log_,
                  {.offer = [this] { return MakeOffer(); },
                   .ready = [this] { SuccessorReady(); },
@@ -113,10 +113,10 @@
   if (!config.admin.empty()) admin_ = std::make_unique<AdminServer>(base, config.admin, *this, clock_, log_);
   MeetPeers();
   decision_.OnReady([this] {
-    if (life_.PoolThere()) Moved();
+    if (life_.ServerListHeld()) Moved();
   });
-  std::vector<PoolEntry> entries;
-  for (const auto& [name, entry] : pool_.held()) entries.push_back(entry);
+  std::vector<ServerListEntry> entries;
+  for (const auto& [name, entry] : discovery_watch_.held()) entries.push_back(entry);
   std::size_t known = entries.size();
   if (inherited) {
     if (inherited->away) Leave();
@@ -129,10 +129,10 @@
     room_late_.Set(kRoomKnownWithin);
     predecessor_->Ready();
   }
-  decision_.PoolNews(Scope::kCached, std::move(entries));
+  decision_.ServerListChanged(Scope::kCached, std::move(entries));
   successor_.Open(door_);
   log_.Line("start", (predecessor_ ? "takes over " : "listening on ") + config.listen + ", " +
-                         std::to_string(known) + " pool entries known");
+                         std::to_string(known) + " servers known");
 }
 
 // ---- Life cycle -----------------------------------------------------------------------------------
@@ -199,7 +199,7 @@
       peers::Peers::Self{running_.name, zoned ? settings.zones[static_cast<std::size_t>(settings.zone)] : "",
                          PEATBEND_VERSION, running_.listen},
       std::random_device{}(), log_);
-  if (!running_.takeover.seats.empty()) work_.emplace(base_, running_, *peers_, decision_, log_);
+  if (!running_.failover.replicas.empty()) work_.emplace(base_, running_, *peers_, decision_, log_);
   if (running_.rations.table) rations_.emplace(base_, running_, *peers_, decision_, log_);
   if (!running_.publications.seats.empty()) publications_.emplace(base_, running_, *peers_, log_);
   if (publications_ && rations_)
@@ -278,11 +278,11 @@
   handover::Successor::Offer offer;
   offer.listener = listener_.socket();
   offer.discovery = running_.discovery;
-  offer.index = pool_.index();
+  offer.index = discovery_watch_.index();
   offer.keeps = Keeps();
   offer.away = life_.away();
-  for (const auto& [name, entry] : pool_.held())
-    offer.endpoints.push_back(WritePoolEntry(entry, running_.settings));
+  for (const auto& [name, entry] : discovery_watch_.held())
+    offer.endpoints.push_back(WriteServerListEntry(entry, running_.settings));
   return offer;
 }
 
@@ -354,7 +354,7 @@
   } else {
     log_.Line("reload", "discovery is now at " + config.discovery);
     running_.discovery = config.discovery;
-    pool_.MoveTo(config.discovery);
+    discovery_watch_.MoveTo(config.discovery);
   }
   auto at_next_start = [this](bool differs, std::string_view key) {
     if (differs) log_.Line("reload", std::string(key) + ": differs, holds from the next start");
@@ -367,7 +367,7 @@
                 "limits");
   at_next_start(config.tuning != running_.tuning, "tuning");
   at_next_start(config.peers != running_.peers, "peers");
-  at_next_start(config.takeover != running_.takeover, "takeover");
+  at_next_start(config.failover != running_.failover, "failover");
   if (rations_ && config.rations.table) TakeBook(config);
   if (publications_) publications_->Found(config.publications.found);
   running_.publications.found = config.publications.found;
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -14,12 +14,12 @@
 #include "base/event_handles.h"
 #include "base/log.h"
 #include "config/config.h"
+#include "discovery/discovery_watch.h"
 #include "front/listener.h"
 #include "handover/predecessor.h"
 #include "handover/successor.h"
 #include "member/member_connections.h"
 #include "peers/peers.h"
-#include "pool/pool.h"
 #include "router/life_cycle.h"
 #include "router/overload_office.h"
 #include "router/publication_office.h"
@@ -56,7 +56,7 @@
   std::string Join() override;
   std::string Figures() override;
   std::string Peers() override;
-  std::string Work() override;
+  std::string Failover() override;
 
  private:
   Duration LongestDeadline() const;
@@ -97,7 +97,7 @@
   MemoryBudget memory_;
   MemberConnections connections_;
   Decision decision_;
-  Pool pool_;
+  DiscoveryWatch discovery_watch_;
   handover::Successor successor_;
   Listener listener_;
   std::optional<handover::Predecessor> predecessor_;
--- a/src/stage/decision.h
+++ b/src/stage/decision.h
@@ -2,7 +2,7 @@
 // and numbers its requests. It decides nothing.
 //
 // The shop's words here and the module's there:
-//   pool          MembershipEvent, ServerEntry      transaction       RequestEvent, RequestId
+//   server list   MembershipEvent, ServerEntry      transaction       RequestEvent, RequestId
 //   pool member   Server                            server-side flow  Send, attempt, OutcomeEvent
 //   reject        Refuse
 #pragma once
@@ -36,12 +36,12 @@
 class Decision : public FlowOwner {
  public:
   Decision(event_base* base, const Settings& settings, std::uint64_t seed, MemberConnections& connections,
-           std::function<void()> watch_pool, const Clock& clock, Log& log, Counters& counters);
+           std::function<void()> watch_discovery, const Clock& clock, Log& log, Counters& counters);
 
   // Nothing where a request under the same id is open.
   std::optional<RequestId> Take(std::unique_ptr<Request> request, AnswerSink& client, std::uint64_t place);
   void ClientLeft(RequestId id);
-  void PoolNews(Scope scope, std::vector<PoolEntry> entries);
+  void ServerListChanged(Scope scope, std::vector<ServerListEntry> entries);
   void FlowEnded(ServerSideFlow& flow, FlowReply reply) override;
   bool FlowBegan(ServerSideFlow& flow, std::size_t length) override;
   Next FlowPiece(ServerSideFlow& flow, evbuffer* bytes) override;
@@ -59,7 +59,7 @@
   bool IsOrigin(std::string_view member) const { return origins_.contains(member); }
   bool asks_for_clients() const { return rationing_ != nullptr; }
   void MaySend(RequestId id);
-  void Close(RequestId id, takeover::End end, std::string value, Duration come_back);
+  void Close(RequestId id, OperationOutcome end, std::string value, Duration come_back);
   // The client has taken what waited for it of a large value.
   void GoOn(RequestId id);
 
@@ -68,7 +68,7 @@
   // Requests that are open and have no connection to a server: each may need one yet.
   std::size_t waiting_for_server() const;
   const Balancer& balancer() const { return balancer_; }
-  // Called once, when there is a pool to serve from.
+  // Called once, when a server list is held.
   void OnReady(std::function<void()> then) { on_ready_ = std::move(then); }
 
  private:
@@ -101,7 +101,7 @@
   };
   struct Closing {
     RequestId id;
-    takeover::End end;
+    OperationOutcome end;
     std::string value;
     Duration come_back;
   };
@@ -134,8 +134,8 @@
   // Its held attempt, if any, is not sent.
   void NotSent(Transaction& transaction);
   // The end is the module's, a reject or a failure: told at once, or once its record stands.
-  void End(Transaction& transaction, takeover::End end, Duration come_back);
-  void Tell(Transaction& transaction, takeover::End end, Duration come_back);
+  void End(Transaction& transaction, OperationOutcome end, Duration come_back);
+  void Tell(Transaction& transaction, OperationOutcome end, Duration come_back);
   Transaction* Find(RequestId id);
   ServerSideFlow* StreamOf(Transaction& transaction);
   void TellEnd(Transaction& transaction);
@@ -147,7 +147,7 @@
   Settings settings_;
   Balancer balancer_;
   MemberConnections& connections_;
-  std::function<void()> watch_pool_;
+  std::function<void()> watch_discovery_;
   const Clock& clock_;
   Log& log_;
   Counters& counters_;
--- a/tests/net/broken_answers_test.cpp
+++ b/tests/net/broken_answers_test.cpp
@@ -17,7 +17,7 @@
 // The list in which these two stand elsewhere.
 void Moves(Stage& stage, const std::string& members) {
   stage.Watched({R"({"index":42,"snapshot":false,"endpoints":[)" + members + "]}"});
-  stage.Until([&] { return stage.router.counters().pool_changes == 1; });
+  stage.Until([&] { return stage.router.counters().server_list_changes == 1; });
 }
 
 // A reset is no end: an answer of unknown length may go on behind it.
@@ -198,7 +198,7 @@
   CHECK_FALSE(reused_after("2000", "3000"));
   stage.Watched({R"({"index":42,"snapshot":false,"endpoints":[)" +
                  Member("box-1", stage.member.port, R"(,"since_ms":1700000000000)") + "]}"});
-  stage.Until([&] { return stage.router.counters().pool_changes == 1; });
+  stage.Until([&] { return stage.router.counters().server_list_changes == 1; });
   CHECK(reused_after("4000", "5000"));
 }
 
@@ -211,7 +211,7 @@
   }
   Moves(stage, Member("origin", origin.port));
   CHECK(stage.Ask(Set(kKey, "c=unsafe,t=acme,d=900", "v")).starts_with("-BUSY"));
-  CHECK(Outcomes(stage, Result::kNoConn) == stage.router.counters().flows);
+  CHECK(Outcomes(stage, Result::kNoConn) == stage.router.counters().attempts);
 }
 
 // The system has accepted the connection, and the server is killed before anything was written to it.
@@ -238,7 +238,7 @@
   CHECK(stage.Ask(kBrokenKeyRead) == kFromOrigin);
   CHECK(Outcomes(stage, Result::kNoConn) == 1);
   CHECK(Outcomes(stage, Result::kGood) == 1);
-  CHECK(stage.router.counters().flows == 2);
+  CHECK(stage.router.counters().attempts == 2);
 }
 
 // A timer that is set late in a turn of the loop fires early by as long as the turn had lasted. The module
--- a/tests/net/handover_waiting_test.cpp
+++ b/tests/net/handover_waiting_test.cpp
@@ -128,7 +128,7 @@
   Upgrade upgrade(1024);
   upgrade.Ask(kRequests);
   upgrade.Until([&] {
-    return upgrade.stage.router.counters().transactions == kRequests && upgrade.server.held() == kRoom;
+    return upgrade.stage.router.counters().requests == kRequests && upgrade.server.held() == kRoom;
   });
   upgrade.Start();
   upgrade.AnswerAllInRounds();
@@ -148,7 +148,7 @@
     upgrade.clients.push_back({kKey, &stage.Client("*4\r\n" + Bulk("OBJ.GET") + Bulk(kKey) +
                                                    Bulk("i" + std::to_string(i)) + Bulk(kFacts))});
   }
-  upgrade.Until([&] { return stage.router.counters().transactions == kRequests; });
+  upgrade.Until([&] { return stage.router.counters().requests == kRequests; });
   CHECK(stage.member.Count("OBJ.GET") == 1);  // the others wait for the fetch
   upgrade.Start();
   stage.origin.ends.back().Say("HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\n" + std::string(kKey));
@@ -162,12 +162,12 @@
   Upgrade upgrade(256);
   upgrade.Ask(kWaiting);
   upgrade.Until([&] {
-    return upgrade.stage.router.counters().transactions == kWaiting && upgrade.server.held() == kRoom;
+    return upgrade.stage.router.counters().requests == kWaiting && upgrade.server.held() == kRoom;
   });
   upgrade.Start();
   upgrade.Ask(kFresh, 300);
   Router& next = upgrade.next->router;
-  upgrade.Until([&] { return next.counters().transactions == kFresh; });
+  upgrade.Until([&] { return next.counters().requests == kFresh; });
   upgrade.Until([&] { return upgrade.server.held() == 2 * kRoom; });
   for (std::size_t i = 0; i < kFresh; ++i) {  // the new process's requests came last
     upgrade.Until([&] { return upgrade.server.received() == upgrade.SentToServer(); });
@@ -184,7 +184,7 @@
   constexpr std::size_t kRequests = 20;
   Upgrade upgrade(1024);
   upgrade.Ask(kRequests);
-  upgrade.Until([&] { return upgrade.stage.router.counters().transactions == kRequests; });
+  upgrade.Until([&] { return upgrade.stage.router.counters().requests == kRequests; });
   upgrade.Start();
   CHECK(upgrade.stage.router.descriptors() >= static_cast<std::int64_t>(2 * kRequests));
   upgrade.AnswerAllInRounds();
--- a/tests/net/held_attempt_test.cpp
+++ b/tests/net/held_attempt_test.cpp
@@ -14,12 +14,12 @@
 class HeldAttempt : public Keeping, public AnswerSink {
  public:
   HeldAttempt() {
-    PoolEntry entry;
+    ServerListEntry entry;
     entry.entry.id.name = "origin";
     entry.entry.kind = settings.origin_kind;
     entry.address = "127.0.0.1:" + std::to_string(stage.origin.port);
     ReadAddress(entry.address, entry.to, entry.to_size);
-    decision.PoolNews(Scope::kFull, {entry});
+    decision.ServerListChanged(Scope::kFull, {entry});
     decision.Keep(this);
   }
 
@@ -35,11 +35,11 @@
     return decision.Take(std::move(request), *this, 0).value();
   }
 
-  bool Covers(const Request&) const override { return true; }
+  bool Tracks(const Request&) const override { return true; }
   void Opened(RequestId, const Request&, Duration) override {}
   void Want(RequestId, const std::string&) override { ++wants; }
   void FlowEnded(RequestId, bool) override {}
-  void Finish(RequestId, takeover::End, std::string) override {}
+  void Finish(RequestId, failover::OperationOutcome, std::string) override {}
   void Left(RequestId) override { ++lefts; }  // nothing follows
 
   void Served(std::uint64_t, evbuffer*) override { ++answers; }
@@ -54,7 +54,7 @@
   Counters counters;
   Clock clock;
   Log log{"test", {}, clock};
-  Tuning::Members tuning;
+  Tuning::Backends tuning;
   SocketBudget sockets;
   MemberConnections connections{stage.base.get(), settings, tuning, sockets, clock, log, counters};
   Decision decision{stage.base.get(), settings, 7, connections, [] {}, clock, log, counters};
@@ -74,7 +74,7 @@
   CHECK(held.counters.outcomes[static_cast<std::size_t>(Result::kNeverSent)] == 1);
   held.decision.MaySend(id);  // too late to matter
   held.stage.Rest();
-  CHECK(held.counters.flows == 0);
+  CHECK(held.counters.attempts == 0);
   CHECK(held.stage.origin.ends.empty());
 }
 
--- a/tests/net/operations_test.cpp
+++ b/tests/net/operations_test.cpp
@@ -22,6 +22,8 @@
   CHECK(call("JOIN\n") == "ok serving\n");
   CHECK(call("\n") == "fail empty call\n");
   CHECK(call("NOTHING\n") == "fail unknown call\n");
+  CHECK(call("FAILOVER\n") == "fail failover is off\n");
+  CHECK(call("WORK\n") == "fail WORK was renamed to FAILOVER\n");
   CHECK(call(std::string("HEALTH\0\n", 8)) == "fail unknown call\n");
   CHECK(call("HEALTH\nLEAVE\n") == "ok serving\n");  // one line a connection
   CHECK(stage.router.life().state() == LifeCycle::State::kServing);
@@ -77,11 +79,11 @@
 TEST_CASE("life cycle: whatever is crossed, one state, and a stop is the end") {
   using State = LifeCycle::State;
   LifeCycle life;
-  CHECK(life.Leave());  // before there is a pool
+  CHECK(life.Leave());  // before a server list is held
   CHECK(!life.takes_clients());
   CHECK(life.Join());
   CHECK(life.state() == State::kStarting);
-  CHECK(life.PoolThere());
+  CHECK(life.ServerListHeld());
   CHECK(life.welcome());
   CHECK(!life.Join());
   CHECK(life.Leave());
@@ -109,7 +111,7 @@
   CHECK(!life.Leave());
 
   LifeCycle alone;
-  alone.PoolThere();
+  alone.ServerListHeld();
   CHECK(alone.Stop());
   CHECK(alone.rest() == Doors::Rest::kStays);  // late clients are served
   CHECK(!alone.SuccessorReady());              // in time for what is left
@@ -167,7 +169,7 @@
   for (std::size_t at = 0; (at = busy.got.find("\r\n", at)) != std::string::npos; at += 2)
     answers +=
         at + 2 >= busy.got.size() || std::string_view("$-").find(busy.got[at + 2]) != std::string_view::npos;
-  CHECK(answers == stage.router.counters().transactions);
+  CHECK(answers == stage.router.counters().requests);
 }
 
 }  // namespace
--- a/tests/net/upgrade_test.cpp
+++ b/tests/net/upgrade_test.cpp
@@ -101,7 +101,7 @@
   Folder folder;
   Stage stage({}, {}, "", 128, 192, folder.Door());
   for (int i = 0; i < 30; ++i) stage.Client(Get("00000000000000" + std::to_string(10 + i), "c=read,d=1900"));
-  stage.Until([&] { return stage.router.counters().transactions == 30; });
+  stage.Until([&] { return stage.router.counters().requests == 30; });
   std::string said;
   auto inherited = AskFrom(stage, folder.Door(), said);
   REQUIRE_MESSAGE(inherited.has_value(), said);
@@ -159,7 +159,7 @@
     Stage stage(kYes, {}, "", 1024, 192, folder.Door());
     Peer elsewhere(stage.base.get());
     stage.Watched({R"({"index":70,"snapshot":false,"endpoints":[]})"});
-    stage.Until([&] { return stage.router.counters().pool_changes == 1; });
+    stage.Until([&] { return stage.router.counters().server_list_changes == 1; });
     std::string said;
     auto inherited = AskFrom(stage, folder.Door(), said);
     REQUIRE_MESSAGE(inherited.has_value(), said);
