--- a/tests/orders/failover_model.h
+++ b/tests/orders/failover_model.h
@@ -49,7 +49,7 @@
   Effect effect = Effect::kUnsafe;
   int routers = 2;            // the first is asked at once; each may take over
   bool second_asker = false;  // the second router's client asks for the same operation as if it were new
-  int tries = 1;              // takeovers that each router may try
+  int tries = 1;              // times that each router may try to take over
   int restarts = 0;           // of replicas
   int syncs = 0;              // times that replicas which restarted ask for the others' state
   int deaths = 0;    // of routers; one that hears nothing more is as good as dead, so these add no order
