--- a/src/base/counters.cpp
+++ b/src/base/counters.cpp
@@ -6,7 +6,7 @@
 
 namespace peatbend::net {
 
-std::uint64_t Counters::Sum(std::uint64_t OfClass::* count) const {
+std::uint64_t Counters::Sum(std::uint64_t OfClass::*count) const {
   std::uint64_t sum = 0;
   for (const OfClass& one : classes) sum += one.*count;
   return sum;
--- a/src/base/counters.h
+++ b/src/base/counters.h
@@ -22,7 +22,7 @@
     std::uint64_t served = 0, rejected = 0, failed = 0;
   };
   std::vector<OfClass> classes;  // as the settings number them
-  std::uint64_t Sum(std::uint64_t OfClass::* count) const;
+  std::uint64_t Sum(std::uint64_t OfClass::*count) const;
   // Sent.
   std::uint64_t attempts = 0, attempts_to_origin = 0, dispatches = 0, dials = 0, reused = 0;
   std::uint64_t not_sent_no_socket = 0;
--- a/src/base/tuning.h
+++ b/src/base/tuning.h
@@ -41,7 +41,7 @@
     // Of the time after which a member closes an idle connection: closed by the router. The rest covers a
     // request that would otherwise cross the member's close and end as a reset.
     double idle_share = 0.8;
-    Milliseconds settle{10};                            // an answer's connection rests so long
+    Milliseconds settle{10};               // an answer's connection rests so long
     Milliseconds settle_unsolicited{100};  // so long at a server that has sent bytes that answer nothing
     Milliseconds dial_timeout{1000}, keepalive{10000};  // where the deployment states none
     bool operator==(const Backends&) const = default;
--- a/src/config/file.h
+++ b/src/config/file.h
@@ -13,14 +13,14 @@
 
 struct ConfigFile {
   net::Tuning tuning;
-  nlohmann::json router;      // name, listen, discovery, seed, limits: as in the platform's JSON
-  nlohmann::json peers;       // fleet, listen, advertise, seeds; null where the file has none
-  nlohmann::json failover;    // replicas, no_quorum; null where the file has none
-  nlohmann::json rations;     // book, seats, reads; null where the file has none
+  nlohmann::json router;        // name, listen, discovery, seed, limits: as in the platform's JSON
+  nlohmann::json peers;         // fleet, listen, advertise, seeds; null where the file has none
+  nlohmann::json failover;      // replicas, no_quorum; null where the file has none
+  nlohmann::json rations;       // book, seats, reads; null where the file has none
   nlohmann::json publications;  // seats, folder, found; null where the file has none
-  nlohmann::json overload;    // on, seats; null where the file has none
-  nlohmann::json subjects;    // of [[publications.subjects]], a list; null where the file has none
-  nlohmann::json deployment;  // as "settings" there, times in nanoseconds; null where the file has none
+  nlohmann::json overload;      // on, seats; null where the file has none
+  nlohmann::json subjects;      // of [[publications.subjects]], a list; null where the file has none
+  nlohmann::json deployment;    // as "settings" there, times in nanoseconds; null where the file has none
 };
 
 // Appends one line a fault, "NAME:LINE: KEY: what is wrong", and leaves the default where one is found.
--- a/src/overload/sign.h
+++ b/src/overload/sign.h
@@ -46,11 +46,11 @@
   std::uint32_t span_ms = 0;                // longer than a window where the router stalled
   std::array<std::uint16_t, kBins> came{};  // work by rank, in units of 2^shift
   std::uint8_t shift = 0;
-  std::uint64_t served = 0;         // ended by a value, late ones too
-  std::uint64_t late = 0;           // of the served, and of those that never had an answer
-  std::uint64_t full = 0;           // rejected for want of room at members or origin
-  std::uint32_t delay_us = 0;       // the least wait in a queue, of the place where that is longest
-  std::uint16_t headroom = 0;       // per mille: what this router goes by; see Level
+  std::uint64_t served = 0;           // ended by a value, late ones too
+  std::uint64_t late = 0;             // of the served, and of those that never had an answer
+  std::uint64_t full = 0;             // rejected for want of room at members or origin
+  std::uint32_t delay_us = 0;         // the least wait in a queue, of the place where that is longest
+  std::uint16_t headroom = 0;         // per mille: what this router goes by; see Level
   std::vector<TenantWork> tenants{};  // the greatest
   std::vector<TrialNews> trials{};
   std::uint64_t Came(std::size_t bin) const { return std::uint64_t{came[bin]} << shift; }
--- a/src/rations/purse.cpp
+++ b/src/rations/purse.cpp
@@ -220,8 +220,7 @@
 
 void Purse::Due(Time now, std::vector<Message>& draws) {
   if (now < due_) return;
-  bool some = std::ranges::any_of(
-      shards_, [&](const Shard& one) { return !one.out && now >= DueOf(one); });
+  bool some = std::ranges::any_of(shards_, [&](const Shard& one) { return !one.out && now >= DueOf(one); });
   for (std::uint32_t number = 0; number < kShards; ++number) {
     Shard& shard = shards_[number];
     if (shard.out && now >= Again(shard)) {
--- a/tests/allowance_test.cpp
+++ b/tests/allowance_test.cpp
@@ -59,7 +59,8 @@
   EXPECT_EQ(std::vector<unsigned>(order.begin(), order.begin() + 3), (std::vector{id, id + 2, id + 1}));
 }
 
-// A watch that stands and has nothing new is told by news without entries; the table is built on changes only.
+// A watch that stands and has nothing new is told by news without entries; the table is built on changes
+// only.
 TEST(Membership, NewsWithoutAChangeBuildNoTable) {
   Proxy proxy;
   proxy.List(Fleet(3));
--- a/tests/balance_waiting_test.cpp
+++ b/tests/balance_waiting_test.cpp
@@ -57,8 +57,8 @@
 
 // Found on sockets, fleet seed 11: requests stood in a full server's queue until shortly before their
 // deadline and were then refused, without a server having seen them.
-// Found on hunted days in simulated time: in an overload half of what was served was served late, for clients'
-// repeats, while first tries that could still be in time waited behind them.
+// Found on hunted days in simulated time: in an overload half of what was served was served late, for
+// clients' repeats, while first tries that could still be in time waited behind them.
 TEST(Holding, AFirstTryGoesBeforeAnEarlierRepeat) {
   Settings settings = BasicSettings();
   settings.classes[kRead].late_share = 0.2;
--- a/tests/lab/books_test.cpp
+++ b/tests/lab/books_test.cpp
@@ -1,4 +1,5 @@
-// The referee knows nothing of the book's language, so scenarios state each limit twice: here both are held together.
+// The referee knows nothing of the book's language, so scenarios state each limit twice: here both are held
+// together.
 #include "doctest/doctest.h"
 #include "lab/scenario.h"
 #include "rations/book.h"
--- a/tests/lab/days_test.cpp
+++ b/tests/lab/days_test.cpp
@@ -67,7 +67,8 @@
   CAPTURE(Summary(result));
   REQUIRE(result.published.size() == 6);
   for (std::size_t i : {0, 1, 4}) CHECK(result.published[i].reached > 20);
-  CHECK(result.published[2].reached + result.published[5].reached > 0);  // one of the two that exclude each other
+  CHECK(result.published[2].reached + result.published[5].reached >
+        0);  // one of the two that exclude each other
 }
 TEST_CASE("day: reload") { BreaksNoRule("reload"); }
 
--- a/tests/lab/rations_test.cpp
+++ b/tests/lab/rations_test.cpp
@@ -18,7 +18,8 @@
 seconds = 20
 warm_up_s = 0
 [routers]
-count = )" + std::to_string(routers) + R"(
+count = )" + std::to_string(routers) +
+                           R"(
 [load]
 clients = 4
 )" + load + R"(
--- a/tests/net/handover_waiting_test.cpp
+++ b/tests/net/handover_waiting_test.cpp
@@ -161,9 +161,8 @@
   constexpr std::size_t kWaiting = 100, kRoom = 8, kFresh = 16;
   Upgrade upgrade(256);
   upgrade.Ask(kWaiting);
-  upgrade.Until([&] {
-    return upgrade.stage.router.counters().requests == kWaiting && upgrade.server.held() == kRoom;
-  });
+  upgrade.Until(
+      [&] { return upgrade.stage.router.counters().requests == kWaiting && upgrade.server.held() == kRoom; });
   upgrade.Start();
   upgrade.Ask(kFresh, 300);
   Router& next = upgrade.next->router;
--- a/tests/net/rules_test.cpp
+++ b/tests/net/rules_test.cpp
@@ -242,8 +242,9 @@
   CHECK(!usual.closed);
 }
 
-// Guards against what turned requests away on the recorded day: the front holds a third of the descriptors for
-// clients, and those that ask once and keep their connection filled it before they counted as idle for long.
+// Guards against what turned requests away on the recorded day: the front holds a third of the descriptors
+// for clients, and those that ask once and keep their connection filled it before they counted as idle for
+// long.
 TEST_CASE("clients that ask once and stay leave room for others, and those that come back stay longer") {
   Stage stage(Stage::Says(Value("x")), {}, "", 128);
   auto ask = [&](End& client, int number) {
@@ -255,7 +256,8 @@
   ask(comes_back, 0);
   ask(comes_back, 1);
   for (int i = 2; i < 70; ++i) ask(stage.Client(""), i);
-  auto open = std::count_if(stage.clients.begin(), stage.clients.end(), [](const End& end) { return !end.closed; });
+  auto open =
+      std::count_if(stage.clients.begin(), stage.clients.end(), [](const End& end) { return !end.closed; });
   CHECK(open <= 128 / 4);
   CHECK(open >= 128 / 6);
   CHECK(!comes_back.closed);
--- a/tests/net/stage.h
+++ b/tests/net/stage.h
@@ -149,8 +149,8 @@
     return [text](End& end) { end.Say(text); };
   }
 
-  // `more`: further fields of the member in the list that the router starts from. `adjust`: what differs in the
-  // configuration.
+  // `more`: further fields of the member in the list that the router starts from. `adjust`: what differs in
+  // the configuration.
   explicit Stage(Answer member_answers = {}, Answer origin_answers = {}, const std::string& more = "",
                  int sockets = 1024, int memory_mb = 192, std::string door = "",
                  const std::function<void(Config&)>& adjust = {})
@@ -190,10 +190,10 @@
   // The configuration that the router was started with.
   Config Configured(const std::string& more = "", int sockets = 1024, int memory_mb = 192) const {
     std::string text = R"({"name":"n0","listen":"127.0.0.1:0",)" +
-                       std::string(door_.empty() ? "" : R"("admin":"127.0.0.1:0",)") + R"("discovery":"127.0.0.1:)" +
-                       std::to_string(discovery.port) + R"(","seed":"7","limits":{"sockets":)" +
-                       std::to_string(sockets) + R"(,"memory_mb":)" + std::to_string(memory_mb) +
-                       R"(},"known":{"index":41,"snapshot":true,"endpoints":[)" +
+                       std::string(door_.empty() ? "" : R"("admin":"127.0.0.1:0",)") +
+                       R"("discovery":"127.0.0.1:)" + std::to_string(discovery.port) +
+                       R"(","seed":"7","limits":{"sockets":)" + std::to_string(sockets) + R"(,"memory_mb":)" +
+                       std::to_string(memory_mb) + R"(},"known":{"index":41,"snapshot":true,"endpoints":[)" +
                        Member("box-1", member.port, more) + "," + Member("origin", origin.port) +
                        R"(]},"settings":{
         "classes":[
--- a/tests/orders/compat_test.cpp
+++ b/tests/orders/compat_test.cpp
@@ -17,11 +17,12 @@
 
 std::size_t Explore(const CompatTown& start, std::size_t most, std::uint64_t seed, CompatFound& found,
                     Prints* distinct = nullptr) {
-  return ExploreTown(start, most, seed, found.broken, found.way, [&](const CompatTown& town, std::uint64_t print) {
-    if (distinct != nullptr) distinct->Insert(print);
-    found.accepted += town.accepted();
-    found.joined += town.joined();
-  });
+  return ExploreTown(start, most, seed, found.broken, found.way,
+                     [&](const CompatTown& town, std::uint64_t print) {
+                       if (distinct != nullptr) distinct->Insert(print);
+                       found.accepted += town.accepted();
+                       found.joined += town.joined();
+                     });
 }
 
 #if defined(__SANITIZE_ADDRESS__)
--- a/tests/orders/orders.h
+++ b/tests/orders/orders.h
@@ -138,8 +138,8 @@
   return seen.size();
 }
 
-// All states of a town, in an order of events that hangs on `seed`; 0: that of their names. `see` is shown each
-// state and its print; the first that is broken ends it, and how it came to that is told.
+// All states of a town, in an order of events that hangs on `seed`; 0: that of their names. `see` is shown
+// each state and its print; the first that is broken ends it, and how it came to that is told.
 template <typename Town, typename See>
 std::size_t ExploreTown(const Town& start, std::size_t most, std::uint64_t seed, std::string& broken,
                         std::string& way, See see) {
--- a/tests/orders/rations_test.cpp
+++ b/tests/orders/rations_test.cpp
@@ -17,11 +17,12 @@
 
 std::size_t Explore(const RationsTown& start, std::size_t most, std::uint64_t seed, Found& found,
                     Prints* distinct = nullptr) {
-  return ExploreTown(start, most, seed, found.broken, found.way, [&](const RationsTown& town, std::uint64_t print) {
-    if (distinct != nullptr) distinct->Insert(print);
-    found.handed += town.handed() > 0 ? 1 : 0;
-    found.admitted += town.admitted() > 0 ? 1 : 0;
-  });
+  return ExploreTown(start, most, seed, found.broken, found.way,
+                     [&](const RationsTown& town, std::uint64_t print) {
+                       if (distinct != nullptr) distinct->Insert(print);
+                       found.handed += town.handed() > 0 ? 1 : 0;
+                       found.admitted += town.admitted() > 0 ? 1 : 0;
+                     });
 }
 
 #if defined(__SANITIZE_ADDRESS__)
--- a/tests/random_test.cpp
+++ b/tests/random_test.cpp
@@ -10,7 +10,8 @@
 
 class World {
  public:
-  World(const Settings& settings, std::uint32_t seed) : set_(settings), rng_(seed), play_(settings, 1, seed) {}
+  World(const Settings& settings, std::uint32_t seed)
+      : set_(settings), rng_(seed), play_(settings, 1, seed) {}
 
   std::string Run(int steps) {
     Relist(Scope::kCached);
