--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t kMostLine = 256;                  // bytes
 constexpr std::chrono::milliseconds kLineWithin{4500};  // for a whole line; then it is told and closed
 constexpr std::chrono::milliseconds kLinger{500};       // from the answer to the close, for what still comes
-constexpr std::chrono::milliseconds kSweepEvery{100};
+constexpr std::chrono::milliseconds kIdleSweepEvery{100};
 
 }  // namespace
 
@@ -45,7 +45,7 @@
       [](evutil_socket_t, short, void* self) { static_cast<AdminServer*>(self)->Accept(); }, this));
   event_priority_set(acceptable_.get(), 0);
   event_add(acceptable_.get(), nullptr);
-  sweep_.Set(kSweepEvery);
+  sweep_.Set(kIdleSweepEvery);
 }
 
 AdminServer::~AdminServer() {
@@ -132,7 +132,7 @@
       Answer(session, "fail no whole line in time\n");
     }
   }
-  sweep_.Set(kSweepEvery);
+  sweep_.Set(kIdleSweepEvery);
 }
 
 }  // namespace peatbend::net
--- a/src/peers/message.h
+++ b/src/peers/message.h
@@ -40,6 +40,8 @@
 constexpr int kVersion = 1;
 // Bytes. A datagram stays below what a path may cut up.
 constexpr std::size_t kMostDatagram = 1400, kMostStream = 4u << 20;
+// Of the messages that a service sends together: they fit a datagram with what stands around them.
+constexpr std::size_t kMostBatch = 1000;
 constexpr std::size_t kMostRecords = 4096, kMostCargo = 1u << 20;
 
 std::string Encode(const Message& message);
--- a/src/router/overload_office.cpp
+++ b/src/router/overload_office.cpp
@@ -8,11 +8,11 @@
 #include "base/nonce.h"
 #include "failover/replica_set.h"
 #include "overload/parcel.h"
+#include "peers/message.h"
 
 namespace peatbend::net {
 namespace {
 
-constexpr std::size_t kMostParcel = 1000;                     // bytes of a datagram
 constexpr std::size_t kMostDatagrams = 4;                     // more go as one stream
 constexpr std::size_t kMostHeard = 4096;                      // signs in a window
 constexpr overload::Span kOver = std::chrono::seconds{1};     // without a cut: it has ended
@@ -142,12 +142,12 @@
   if (heard_.empty()) return;
   std::size_t size = 0;
   for (const std::string& sign : heard_) size += sign.size() + overload::kAroundSign;
-  bool datagrams = size <= kMostDatagrams * kMostParcel;
+  bool datagrams = size <= kMostDatagrams * peers::kMostBatch;
   std::vector<std::vector<std::string>> parts(1);
   std::size_t in_part = 0;
   for (std::string& sign : heard_) {
     std::size_t more = sign.size() + overload::kAroundSign;
-    if (datagrams && in_part + more > kMostParcel && !parts.back().empty()) {
+    if (datagrams && in_part + more > peers::kMostBatch && !parts.back().empty()) {
       parts.emplace_back();
       in_part = 0;
     }
--- a/src/router/publication_office.cpp
+++ b/src/router/publication_office.cpp
@@ -11,8 +11,8 @@
 namespace peatbend::net {
 namespace {
 
-constexpr std::chrono::milliseconds kOpenAgain{200};  // where another process still has the folder
-constexpr std::chrono::milliseconds kLifeAgain{50};   // until this one is a member of its fleet
+constexpr std::chrono::milliseconds kFolderRetry{200};  // where another process still has the folder
+constexpr std::chrono::milliseconds kLifeAgain{50};     // until this one is a member of its fleet
 
 }  // namespace
 
@@ -206,7 +206,7 @@
   if (librarian_) due = std::min(due, librarian_->Due());
   failover::Span in = std::max(due - now, failover::Span{});
   if (peers_->life() == 0) in = std::min<failover::Span>(in, kLifeAgain);
-  if (!opened_) in = std::min<failover::Span>(in, kOpenAgain);
+  if (!opened_) in = std::min<failover::Span>(in, kFolderRetry);
   tick_.Set(in);
   flushing_ = false;
 }
--- a/src/router/ration_office.cpp
+++ b/src/router/ration_office.cpp
@@ -8,13 +8,13 @@
 #include <chrono>
 
 #include "base/nonce.h"
+#include "peers/message.h"
 #include "rations/wire.h"
 
 namespace peatbend::net {
 namespace {
 
 constexpr rations::Span kTogether = std::chrono::milliseconds{5};
-constexpr std::size_t kMostParcel = 1000;  // bytes: a few messages together fit a datagram
 
 // NAME, NAME/ZONE, NAME/ZONE@ADDRESS:PORT
 struct SeatLine {
@@ -184,9 +184,9 @@
     auto at = std::ranges::find(parcels, out.router, &std::pair<std::string, rations::Parcel>::first);
     if (at == parcels.end()) at = parcels.insert(at, {out.router, rations::Parcel(print_)});
     rations::Parcel& parcel = at->second;
-    if (parcel.Add(out.message, kMostParcel)) continue;
+    if (parcel.Add(out.message, peers::kMostBatch)) continue;
     send(out.router, parcel);
-    parcel.Add(out.message, kMostParcel);
+    parcel.Add(out.message, peers::kMostBatch);
   }
   for (auto& [to, parcel] : parcels) send(to, parcel);
   // Also later than it was: an answer that has come needs nobody to wake for it.
--- a/src/router/work_in_hand.cpp
+++ b/src/router/work_in_hand.cpp
@@ -8,14 +8,15 @@
 #include <nlohmann/json.hpp>
 
 #include "failover/wire.h"
+#include "peers/message.h"
 #include "protocol/facts.h"
 
 namespace peatbend::net {
 namespace {
 
 constexpr std::chrono::milliseconds kAloneComeBack{250};
-// Bytes: a few messages together fit a datagram; the records of a state transfer go by one stream.
-constexpr std::size_t kMostParcel = 1000, kMostSyncBytes = 512u << 10;
+// Bytes: the records of a state transfer go by one stream.
+constexpr std::size_t kMostSyncBytes = 512u << 10;
 
 failover::OwnershipOptions OptionsOf(const Config& config) {
   failover::OwnershipOptions options;
@@ -135,7 +136,7 @@
   for (failover::OwnershipManager::Outgoing& out : manager_.DrainOutgoing()) {
     Parcel& parcel = parcels[out.router];
     std::size_t more = failover::SizeOf(out.message);
-    std::size_t most = out.message.kind == failover::Kind::kSyncRecord ? kMostSyncBytes : kMostParcel;
+    std::size_t most = out.message.kind == failover::Kind::kSyncRecord ? kMostSyncBytes : peers::kMostBatch;
     bool full = parcel.size + more > most || parcel.messages.size() >= failover::kMaxMessages;
     if (full && !parcel.messages.empty()) send(out.router, parcel);
     parcel.size += more;
