--- a/src/stage/server_side_flow.cpp
+++ b/src/stage/server_side_flow.cpp
@@ -18,20 +18,20 @@
   connections_ = &connections;
   connection_ = connections.Begin(*this, request, {.deadline = started_ + limit, .begin_by = begin_by});
   if (connection_ == nullptr) return EndWith(Result::kNoConn);
-  Wait(limit);
+  limit_.Set(limit);
 }
 
 bool ServerSideFlow::Began(std::size_t length) {
   began_ = clock_.Now();
   if (!owner_.FlowBegan(*this, length)) return Cancel(), false;
-  Wait(kSilence);
+  limit_.Set(kSilence);
   return true;
 }
 
 bool ServerSideFlow::Piece(evbuffer* bytes, bool& gone) {
   switch (owner_.FlowPiece(*this, bytes)) {
     case FlowOwner::Next::kMore:
-      Wait(kSilence);
+      limit_.Set(kSilence);
       return true;
     case FlowOwner::Next::kWait:
       limit_.Stop();
@@ -46,7 +46,7 @@
 
 void ServerSideFlow::GoOn() {
   if (ended_ || connection_ == nullptr) return;
-  Wait(kSilence);
+  limit_.Set(kSilence);
   connection_->Resume();
 }
 
@@ -59,21 +59,10 @@
 
 bool ServerSideFlow::dialling() const { return connection_ != nullptr && !connection_->begun(); }
 
-void ServerSideFlow::Wait(Duration limit) {
-  waits_until_ = clock_.Now() + limit;
-  limit_.Set(limit);
-}
-
-// The loop counts a timer from the moment in which its turn began, so that it fires early by as long as that
-// turn had lasted already. An attempt that ended before its limit would look as if there were time for
-// another.
-//
 // What was not written whole by now never ran: to the module that is a connection that did not come up. Where
 // a written one got no word, the member's idle connections may be as dead: closed, so that the next flow
 // dials and is told soon. Guards against members lost without a word, which TCP does not tell.
 void ServerSideFlow::OutOfTime() {
-  Duration left = waits_until_ - clock_.Now();
-  if (left > Duration::zero()) return limit_.Set(left);
   bool written = LeaveConnection();
   if (written) connections_->CloseIdle(member_);
   EndWith(written ? Result::kLate : Result::kNoConn);
--- a/src/stage/server_side_flow.h
+++ b/src/stage/server_side_flow.h
@@ -65,8 +65,6 @@
   bool ended() const { return ended_; }
 
  private:
-  // Limits what it waits for from now on.
-  void Wait(Duration limit);
   void OutOfTime();
   bool LeaveConnection();
   void EndWith(Result result);
@@ -78,7 +76,6 @@
   int attempt_;
   std::string member_;
   TimePoint started_{}, began_{};
-  TimePoint waits_until_{};
   MemberConnections* connections_ = nullptr;
   MemberConnection* connection_ = nullptr;
   bool ended_ = false;
--- a/tests/net/broken_answers_test.cpp
+++ b/tests/net/broken_answers_test.cpp
@@ -241,8 +241,9 @@
   CHECK(stage.router.counters().attempts == 2);
 }
 
-// A timer that is set late in a turn of the loop fires early by as long as the turn had lasted. The module
-// would take what was left for time for another attempt.
+// Guards against a loop that counts its timers from the moment in which a turn began: one set late in a turn
+// would fire early by as long as the turn had lasted, and the module would take what was left for time for
+// another attempt.
 TEST_CASE("out of time: an attempt that a slow turn of the loop has begun ends no sooner than its limit") {
   using std::chrono::steady_clock;
   constexpr std::chrono::milliseconds kTurn{40}, kLimit{100};
--- a/tests/net/customers_test.cpp
+++ b/tests/net/customers_test.cpp
@@ -71,7 +71,7 @@
   }
   std::size_t Requests() const { return backend.Count("OBJ.GET") + origin.Count("X-Facts"); }
 
-  EventBasePtr base{event_base_new()};
+  EventBasePtr base = NewEventBase();
   Peer backend{base.get(), BreaksOff}, origin{base.get(), BreaksOff}, discovery{base.get()};
   CustomerRouter first{base.get(), kFirst, discovery.port, backend.port, origin.port};
   CustomerRouter second{base.get(), kSecond, discovery.port, backend.port, origin.port};
--- a/tests/net/stage.h
+++ b/tests/net/stage.h
@@ -216,7 +216,7 @@
   }
 
   std::string door_;  // not empty: a successor may come there, and there is an operators' address
-  EventBasePtr base{event_base_new()};
+  EventBasePtr base = NewEventBase();
   Peer member, origin, discovery;
   Router router;
   std::list<End> clients;
--- a/tests/net/watch_stage.h
+++ b/tests/net/watch_stage.h
@@ -68,7 +68,7 @@
     return names;
   }
 
-  EventBasePtr base{event_base_new()};
+  EventBasePtr base = NewEventBase();
   Peer discovery;
   std::vector<Scope> news;
   std::vector<std::size_t> told;  // entries of each
