--- a/src/base/other_end.h
+++ b/src/base/other_end.h
@@ -9,12 +9,19 @@
 
 namespace peatbend::net {
 
-// Whether the other end has closed the connection and all that it sent has been read, or has reset it.
-inline bool EndedAndRead(evutil_socket_t socket) {
+enum class Unread {
+  kNothing,
+  kBytes,
+  kEnd,  // the other end has closed the connection, or reset it
+};
+
+// What would be read next. Asks the socket, since the loop may not have got round to reading what is there.
+inline Unread PeekUnread(evutil_socket_t socket) {
   char byte = 0;
   ssize_t got = recv(socket, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  bool open = got > 0 || (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR));
-  return !open;
+  if (got > 0) return Unread::kBytes;
+  bool nothing = got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
+  return nothing ? Unread::kNothing : Unread::kEnd;
 }
 
 // Whether it has closed or reset the connection, whatever is still to be read.
--- a/src/front/client_session.h
+++ b/src/front/client_session.h
@@ -100,7 +100,7 @@
   // What came before its end is what a client that has gone has asked for.
   static void OnRead(bufferevent* socket, void* self) {
     auto* session = static_cast<ClientSession*>(self);
-    EndedAndRead(bufferevent_getfd(socket)) ? session->Leave() : session->Read();
+    PeekUnread(bufferevent_getfd(socket)) == Unread::kEnd ? session->Leave() : session->Read();
   }
   static void OnWritten(bufferevent*, void* self) { static_cast<ClientSession*>(self)->Written(); }
   static void OnEvent(bufferevent*, short what, void* self);
--- a/src/member/member_connections.cpp
+++ b/src/member/member_connections.cpp
@@ -66,17 +66,7 @@
   ++home_.counters_.dispatches;
 }
 
-// Asks the socket, since the loop may not have got round to reading what is there.
-bool MemberConnection::Quiet() const {
-  char byte = 0;
-  return recv(bufferevent_getfd(socket_.get()), &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 &&
-         (errno == EAGAIN || errno == EWOULDBLOCK);
-}
-
-bool MemberConnection::HasUnreadBytes() const {
-  char byte = 0;
-  return recv(bufferevent_getfd(socket_.get()), &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
-}
+Unread MemberConnection::unread() const { return PeekUnread(bufferevent_getfd(socket_.get())); }
 
 bool MemberConnection::written() const {
   return begun_ && evbuffer_get_length(bufferevent_get_output(socket_.get())) == 0;
@@ -285,12 +275,13 @@
   for (std::size_t i = member.idle.size(); i-- > 0;) {
     MemberConnection* connection = member.idle[i];
     if (connection->idle_since_ > rested) continue;
-    if (connection->Quiet()) {
+    Unread unread = connection->unread();
+    if (unread == Unread::kNothing) {
       member.idle.erase(member.idle.begin() + static_cast<std::ptrdiff_t>(i));
       return connection;
     }
     ++counters_.closed_as_stray;
-    if (connection->HasUnreadBytes()) connection->NoteUnsolicitedBytes();
+    if (unread == Unread::kBytes) connection->NoteUnsolicitedBytes();
     Close(*connection);
   }
   return nullptr;
--- a/src/member/member_connections.h
+++ b/src/member/member_connections.h
@@ -13,6 +13,7 @@
 #include "base/counters.h"
 #include "base/event_handles.h"
 #include "base/log.h"
+#include "base/other_end.h"
 #include "base/socket_budget.h"
 #include "base/tuning.h"
 #include "discovery/server_list.h"
@@ -46,10 +47,8 @@
   void BeginBy(TimePoint latest);
   // The flow no longer waits: what comes for it must not be taken for another's answer, so this closes.
   void Abandon();
-  // Whether nothing has come on it since the last answer, nor the other end closed it.
-  bool Quiet() const;
-  // Whether bytes have come that nobody has read.
-  bool HasUnreadBytes() const;
+  // What has come on it since the last answer.
+  Unread unread() const;
   // After a piece that was the last for a while.
   void Resume();
   // Whether the request's last byte was handed to the socket. Queued here is not written.
