--- a/tests/cold/processes_test.cpp
+++ b/tests/cold/processes_test.cpp
@@ -85,15 +85,7 @@
     }
     at_cold_.clear();
   }
-  void Until(const std::function<bool()>& holds) {
-    auto limit = Clock::now() + 60s;
-    while (!holds()) {
-      REQUIRE(Clock::now() < limit);
-      timeval turn{0, 2000};
-      event_base_loopexit(base_.get(), &turn);
-      event_base_dispatch(base_.get());
-    }
-  }
+  void Until(const std::function<bool()>& holds) { net::test::RunUntil(base_.get(), holds, 60s); }
 
   // Keys whose member is the cold one, or another.
   std::vector<std::size_t> KeysOf(bool cold) const {
--- a/tests/net/stage.h
+++ b/tests/net/stage.h
@@ -26,14 +26,18 @@
   return to;
 }
 
-// Runs the loop until it holds; the limit only ends a test that would hang.
-inline void RunUntil(event_base* base, const std::function<bool()>& holds) {
-  auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(20);
+// Runs the loop until it holds; `within` only ends a test that would hang. `after_turn`: called after each
+// turn.
+inline void RunUntil(
+    event_base* base, const std::function<bool()>& holds,
+    std::chrono::seconds within = std::chrono::seconds(20), const std::function<void()>& after_turn = [] {}) {
+  auto limit = std::chrono::steady_clock::now() + within;
   while (!holds()) {
     REQUIRE(std::chrono::steady_clock::now() < limit);
     timeval turn{0, 2000};
     event_base_loopexit(base, &turn);
     event_base_dispatch(base);
+    after_turn();
   }
 }
 
--- a/tests/net/start_test.cpp
+++ b/tests/net/start_test.cpp
@@ -60,14 +60,9 @@
     router.Ended();
   }
   void Until(const std::function<bool()>& holds) {
-    auto limit = steady_clock::now() + 30s;
-    while (!holds()) {
-      REQUIRE(steady_clock::now() < limit);
-      timeval turn{0, 2000};
-      event_base_loopexit(base.get(), &turn);
-      event_base_dispatch(base.get());
+    RunUntil(base.get(), holds, 30s, [this] {
       for (auto& turn_over : each_turn) turn_over();
-    }
+    });
   }
   // Asks until it is answered, on a new connection where the router has closed the one before.
   std::string Ask(const std::string& text) {
--- a/tests/rations/process_rig.h
+++ b/tests/rations/process_rig.h
@@ -137,11 +137,8 @@
   // What was asked since `from` and admitted, against what is promised for so many processes. A promise is of
   // one book: a stretch in which books change has the bounds of both.
   void CheckBound(const Pace& pace, std::size_t processes, Clock::time_point from = {}) {
-    auto all = crowd_->Admissions();
-    std::erase_if(all, [&](const Admission& one) { return one.sent < from; });
-    CHECK(all.size() > 20);
-    double above = MostAbove(all, pace.rate, pace.burst, static_cast<double>(processes) * AheadOf(pace));
-    CHECK_MESSAGE(above <= kSlack, "by ", above, " at the worst, of ", all.size(), " admissions");
+    CheckBound(
+        pace, [=](Clock::time_point, Clock::time_point) { return processes; }, from);
   }
   // From the start of a process until the end of the one that it replaces.
   struct Upgrade {
@@ -149,18 +146,29 @@
   };
   // The same where processes were replaced: a stretch of time that meets an upgrade has one process more.
   void CheckBound(const Pace& pace, std::size_t routers, const std::vector<Upgrade>& upgrades) {
+    auto within = [&](Clock::time_point from, Clock::time_point to) {
+      auto met = std::ranges::count_if(
+          upgrades, [&](const Upgrade& one) { return one.begun < to && from < one.ended; });
+      return routers + static_cast<std::size_t>(met);
+    };
+    CheckBound(pace, within, {});
+  }
+
+ private:
+  // `processes`: how many there were in a stretch of time.
+  void CheckBound(const Pace& pace,
+                  const std::function<std::size_t(Clock::time_point, Clock::time_point)>& processes,
+                  Clock::time_point since) {
     auto all = crowd_->Admissions();
+    std::erase_if(all, [&](const Admission& one) { return one.sent < since; });
     CHECK(all.size() > 20);
     auto ahead = [&](Clock::time_point from, Clock::time_point to) {
-      auto met = std::ranges::count_if(
-          upgrades, [&](const Upgrade& one) { return one.begun < to && from < one.ended; });
-      return static_cast<double>(routers + static_cast<std::size_t>(met)) * AheadOf(pace);
+      return static_cast<double>(processes(from, to)) * AheadOf(pace);
     };
     double above = MostAbove(all, pace.rate, pace.burst, ahead);
     CHECK_MESSAGE(above <= kSlack, "by ", above, " at the worst, of ", all.size(), " admissions");
   }
 
- private:
   // Two clocks of one machine, and fractions of a token.
   static constexpr double kSlack = 1;
   std::string folder_;
