--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -53,7 +53,7 @@
   close(socket_);
 }
 
-int AdminServer::port() const { return PortOf(socket_); }
+int AdminServer::port() const { return BoundPort(socket_); }
 
 void AdminServer::Accept() {
   int caller = accept4(socket_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
--- a/src/admin/ask.cpp
+++ b/src/admin/ask.cpp
@@ -29,7 +29,7 @@
 std::string AskRouter(const std::string& address, const std::string& call) {
   sockaddr_storage to{};
   int size = 0;
-  ReadAddress(address, to, size);
+  ParseAddress(address, to, size);
   Socket one{socket(to.ss_family, SOCK_STREAM | SOCK_CLOEXEC, 0)};
   timeval within{2, 0};
   setsockopt(one.fd, SOL_SOCKET, SO_RCVTIMEO, &within, sizeof within);
--- a/src/base/address.h
+++ b/src/base/address.h
@@ -1,4 +1,4 @@
-// Addresses as text, and who is at the other end of a socket.
+// Conversion of socket addresses from text, and a hash of a connection's remote address.
 #pragma once
 
 #include <sys/socket.h>
@@ -8,9 +8,11 @@
 
 namespace peatbend::net {
 
-// "10.1.0.18:6379"; throws std::invalid_argument.
-void ReadAddress(const std::string& text, sockaddr_storage& to, int& size);
-// A hash of the peer's IPv4 address, without its port: the same in every process. 0 where there is none.
-std::uint64_t HashOfPeer(int socket);
+// Parses a numeric address and port such as "10.1.0.18:6379" or "[::1]:6379". `size` receives the size of the
+// address in `address`. Throws std::invalid_argument if `text` is not of that form.
+void ParseAddress(const std::string& text, sockaddr_storage& address, int& size);
+// A hash of the remote IPv4 address without its port, equal in every process. 0 if the socket is not
+// connected or does not use IPv4.
+std::uint64_t HashPeerAddress(int socket);
 
 }  // namespace peatbend::net
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,5 +1,5 @@
-// The module's clock: Unix time as it was when the program started, then moved on by the steady clock. So
-// the list's start times (Unix milliseconds) are on it as they stand, and it never goes back.
+// The clock of the balancer: Unix time read once at program start and advanced by the steady clock, so it
+// never goes back. The start times in server lists (Unix milliseconds) need no conversion.
 #pragma once
 
 #include <chrono>
@@ -11,8 +11,8 @@
 class Clock {
  public:
   TimePoint Now() const {
-    auto gone = std::chrono::steady_clock::now() - steady_start_;
-    return TimePoint{unix_start_ + std::chrono::duration_cast<Duration>(gone)};
+    auto elapsed = std::chrono::steady_clock::now() - steady_start_;
+    return TimePoint{unix_start_ + std::chrono::duration_cast<Duration>(elapsed)};
   }
 
  private:
--- a/src/base/counters.cpp
+++ b/src/base/counters.cpp
@@ -6,48 +6,48 @@
 
 namespace peatbend::net {
 
-std::uint64_t Counters::Sum(std::uint64_t OfClass::*count) const {
+std::uint64_t Counters::Sum(std::uint64_t PerClass::*count) const {
   std::uint64_t sum = 0;
-  for (const OfClass& one : classes) sum += one.*count;
+  for (const PerClass& cls : classes) sum += cls.*count;
   return sum;
 }
 
-std::vector<std::pair<std::string, std::uint64_t>> Describe(const Counters& c) {
-  constexpr std::string_view kResults[] = {"good",  "bad",       "full",       "late", "no_connection",
-                                           "reset", "cancelled", "never_sent", "miss"};
-  static_assert(std::size(kResults) == std::tuple_size_v<decltype(Counters::outcomes)>);
+std::vector<std::pair<std::string, std::uint64_t>> Describe(const Counters& counters) {
+  constexpr std::string_view kResultNames[] = {"good",  "bad",       "full",       "late", "no_connection",
+                                               "reset", "cancelled", "never_sent", "miss"};
+  static_assert(std::size(kResultNames) == std::tuple_size_v<decltype(Counters::outcomes)>);
   std::vector<std::pair<std::string, std::uint64_t>> counts;
   auto add = [&counts](std::string_view name, std::uint64_t value) { counts.emplace_back(name, value); };
-  add("clients_accepted", c.clients_accepted);
-  add("clients_closed", c.clients_closed);
-  add("clients_closed_for_room", c.clients_closed_for_room);
-  add("clients_closed_as_idle", c.clients_closed_as_idle);
-  add("ids_in_use", c.ids_in_use);
-  add("client_malformed", c.client_malformed);
-  add("pings", c.pings);
-  add("unknown_commands", c.unknown_commands);
-  add("requests", c.requests);
-  add("requests_abandoned", c.requests_abandoned);
-  add("served", c.Sum(&Counters::OfClass::served));
-  add("rejected", c.Sum(&Counters::OfClass::rejected));
-  add("failed", c.Sum(&Counters::OfClass::failed));
-  add("values_cut", c.values_cut);
-  add("attempts", c.attempts);
-  add("attempts_to_origin", c.attempts_to_origin);
-  add("dispatches", c.dispatches);
-  add("dials", c.dials);
-  add("reused", c.reused);
-  add("not_sent_no_socket", c.not_sent_no_socket);
-  for (std::size_t i = 0; i < std::size(kResults); ++i) {
-    add(std::string("attempt_").append(kResults[i]), c.outcomes[i]);
+  add("clients_accepted", counters.clients_accepted);
+  add("clients_closed", counters.clients_closed);
+  add("clients_closed_for_room", counters.clients_closed_for_room);
+  add("clients_closed_as_idle", counters.clients_closed_as_idle);
+  add("ids_in_use", counters.ids_in_use);
+  add("client_malformed", counters.client_malformed);
+  add("pings", counters.pings);
+  add("unknown_commands", counters.unknown_commands);
+  add("requests", counters.requests);
+  add("requests_abandoned", counters.requests_abandoned);
+  add("served", counters.Sum(&Counters::PerClass::served));
+  add("rejected", counters.Sum(&Counters::PerClass::rejected));
+  add("failed", counters.Sum(&Counters::PerClass::failed));
+  add("values_cut", counters.values_cut);
+  add("attempts", counters.attempts);
+  add("attempts_to_origin", counters.attempts_to_origin);
+  add("dispatches", counters.dispatches);
+  add("dials", counters.dials);
+  add("reused", counters.reused);
+  add("not_sent_no_socket", counters.not_sent_no_socket);
+  for (std::size_t i = 0; i < std::size(kResultNames); ++i) {
+    add(std::string("attempt_").append(kResultNames[i]), counters.outcomes[i]);
   }
-  add("member_malformed", c.member_malformed);
-  add("closed_as_stray", c.closed_as_stray);
-  add("watches", c.watches);
-  add("watch_failures", c.watch_failures);
-  add("server_list_changes", c.server_list_changes);
-  add("reloads", c.reloads);
-  add("reloads_refused", c.reloads_refused);
+  add("member_malformed", counters.member_malformed);
+  add("closed_as_stray", counters.closed_as_stray);
+  add("watches", counters.watches);
+  add("watch_failures", counters.watch_failures);
+  add("server_list_changes", counters.server_list_changes);
+  add("reloads", counters.reloads);
+  add("reloads_refused", counters.reloads_refused);
   return counts;
 }
 
--- a/src/base/event_handles.h
+++ b/src/base/event_handles.h
@@ -1,4 +1,4 @@
-// RAII over libevent's handles.
+// RAII wrappers and helpers for libevent handles.
 #pragma once
 
 #include <event2/buffer.h>
@@ -16,19 +16,19 @@
 namespace peatbend::net {
 
 template <auto Free>
-struct FreeBy {
+struct HandleDeleter {
   template <typename T>
   void operator()(T* handle) const {
     Free(handle);
   }
 };
-using EventBasePtr = std::unique_ptr<event_base, FreeBy<event_base_free>>;
-using BufferPtr = std::unique_ptr<evbuffer, FreeBy<evbuffer_free>>;
-using BuffereventPtr = std::unique_ptr<bufferevent, FreeBy<bufferevent_free>>;
-using ListenerPtr = std::unique_ptr<evconnlistener, FreeBy<evconnlistener_free>>;
-using EventPtr = std::unique_ptr<event, FreeBy<event_free>>;
+using EventBasePtr = std::unique_ptr<event_base, HandleDeleter<event_base_free>>;
+using BufferPtr = std::unique_ptr<evbuffer, HandleDeleter<evbuffer_free>>;
+using BuffereventPtr = std::unique_ptr<bufferevent, HandleDeleter<bufferevent_free>>;
+using ListenerPtr = std::unique_ptr<evconnlistener, HandleDeleter<evconnlistener_free>>;
+using EventPtr = std::unique_ptr<event, HandleDeleter<event_free>>;
 
-// A loop whose timers are exact and whose clock is read anew each time; null if there is none to be had.
+// An event loop with precise timers and without a cached time; null if libevent cannot create one.
 inline EventBasePtr NewEventBase() {
   event_config* options = event_config_new();
   event_config_set_flag(options, EVENT_BASE_FLAG_PRECISE_TIMER | EVENT_BASE_FLAG_NO_CACHE_TIME);
@@ -39,7 +39,7 @@
 
 inline BufferPtr NewBuffer() { return BufferPtr(evbuffer_new()); }
 
-// The whole buffer as one piece; valid until the buffer is next written to or drained.
+// The whole buffer as one contiguous view, valid until the buffer is next written to or drained.
 inline std::string_view Contents(evbuffer* buffer) {
   std::size_t size = evbuffer_get_length(buffer);
   if (size == 0) return {};
@@ -55,9 +55,9 @@
   return {static_cast<time_t>(micros.count() / 1000000), static_cast<suseconds_t>(micros.count() % 1000000)};
 }
 
-// Hands what is in `data` to a connected socket at once, where nothing waits before it; what the socket does
-// not take goes the bufferevent's way. Saves the two changes of what the loop waits for and the turn of the
-// loop that a bufferevent's write costs. True if all was taken: then the bufferevent calls nobody back.
+// Writes `data` to a connected socket at once if the bufferevent has no output queued, and queues what the
+// socket does not accept. Saves the two changes of event registration and the loop iteration that a write
+// through the bufferevent costs. Returns true if everything was written; no write callback follows then.
 inline bool WriteNow(bufferevent* to, evbuffer* data) {
   if (evbuffer_get_length(bufferevent_get_output(to)) == 0) evbuffer_write(data, bufferevent_getfd(to));
   if (evbuffer_get_length(data) == 0) return true;
@@ -65,7 +65,8 @@
   return false;
 }
 
-// Calls `then` once each time it is set. May be destroyed from within `then`, which is copied for the call.
+// A one-shot timer: calls `then` once for each Set or Activate. May be destroyed from within `then`, which is
+// copied for the call.
 class Timer {
  public:
   Timer(event_base* base, std::function<void()> then)
@@ -73,13 +74,14 @@
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
 
-  void Set(std::chrono::nanoseconds in) {
-    timeval delay = ToTimeval(in);
-    evtimer_add(event_.get(), &delay);
+  void Set(std::chrono::nanoseconds delay) {
+    timeval timeout = ToTimeval(delay);
+    evtimer_add(event_.get(), &timeout);
   }
-  void SetNow() { event_active(event_.get(), EV_TIMEOUT, 0); }  // in this turn of the loop
+  // Calls `then` in the current iteration of the event loop.
+  void Activate() { event_active(event_.get(), EV_TIMEOUT, 0); }
   void Stop() { evtimer_del(event_.get()); }
-  bool set() const { return evtimer_pending(event_.get(), nullptr) != 0; }
+  bool pending() const { return evtimer_pending(event_.get(), nullptr) != 0; }
 
  private:
   static void Fire(evutil_socket_t, short, void* self) {
@@ -90,6 +92,7 @@
   EventPtr event_;
 };
 
+// Calls `then` on each delivery of a signal while it exists.
 class Signal {
  public:
   Signal(event_base* base, int number, std::function<void()> then)
--- a/src/base/listen.cpp
+++ b/src/base/listen.cpp
@@ -10,38 +10,38 @@
 
 namespace peatbend::net {
 
-int BindTo(const std::string& address, int type, bool shared) {
-  sockaddr_storage to{};
+int BindSocket(const std::string& address, int type, bool shared) {
+  sockaddr_storage socket_address{};
   int size = 0;
-  ReadAddress(address, to, size);
-  int made = socket(to.ss_family, type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (made < 0) return -1;
-  int yes = 1;
-  if (type == SOCK_STREAM) setsockopt(made, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
-  if (shared) setsockopt(made, SOL_SOCKET, SO_REUSEPORT, &yes, sizeof yes);
-  if (bind(made, reinterpret_cast<sockaddr*>(&to), static_cast<socklen_t>(size)) == 0) return made;
-  int why = errno;
-  close(made);
-  errno = why;
+  ParseAddress(address, socket_address, size);
+  int fd = socket(socket_address.ss_family, type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+  if (fd < 0) return -1;
+  int on = 1;
+  if (type == SOCK_STREAM) setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+  if (shared) setsockopt(fd, SOL_SOCKET, SO_REUSEPORT, &on, sizeof on);
+  if (bind(fd, reinterpret_cast<sockaddr*>(&socket_address), static_cast<socklen_t>(size)) == 0) return fd;
+  int saved_errno = errno;
+  close(fd);
+  errno = saved_errno;
   return -1;
 }
 
 int ListenOn(const std::string& address, int backlog, bool shared) {
-  int made = BindTo(address, SOCK_STREAM, shared);
-  if (made < 0 || listen(made, backlog) == 0) return made;
-  int why = errno;
-  close(made);
-  errno = why;
+  int fd = BindSocket(address, SOCK_STREAM, shared);
+  if (fd < 0 || listen(fd, backlog) == 0) return fd;
+  int saved_errno = errno;
+  close(fd);
+  errno = saved_errno;
   return -1;
 }
 
-bool Taken(const std::string& address) {
-  int made = BindTo(address, SOCK_STREAM, false);
-  if (made >= 0) close(made);
-  return made < 0 && errno == EADDRINUSE;
+bool AddressInUse(const std::string& address) {
+  int fd = BindSocket(address, SOCK_STREAM, false);
+  if (fd >= 0) close(fd);
+  return fd < 0 && errno == EADDRINUSE;
 }
 
-int PortOf(int socket) {
+int BoundPort(int socket) {
   sockaddr_storage bound{};
   socklen_t size = sizeof bound;
   getsockname(socket, reinterpret_cast<sockaddr*>(&bound), &size);
--- a/src/base/listen.h
+++ b/src/base/listen.h
@@ -1,19 +1,21 @@
-// Listening sockets.
+// Bound and listening sockets.
 #pragma once
 
 #include <string>
 
 namespace peatbend::net {
 
-// A non-blocking socket, SOCK_STREAM or SOCK_DGRAM, bound to ADDRESS:PORT; as below. A datagram's address is
-// its alone: reused, a second process could take it.
-int BindTo(const std::string& address, int type, bool shared);
-// A non-blocking listening socket on ADDRESS:PORT, the caller's to close; -1 and errno where it cannot be
-// had. `shared`: another process may listen there too (SO_REUSEPORT on both).
+// Opens a non-blocking socket of `type` SOCK_STREAM or SOCK_DGRAM and binds it to ADDRESS:PORT; results and
+// `shared` as for ListenOn. SO_REUSEADDR is set on stream sockets only: on datagram sockets it would let a
+// second process take over the address.
+int BindSocket(const std::string& address, int type, bool shared);
+// Opens a non-blocking listening socket on ADDRESS:PORT, owned by the caller. Returns -1 and sets errno on
+// failure. `shared` sets SO_REUSEPORT, so that another process that sets it too may listen on the same
+// address.
 int ListenOn(const std::string& address, int backlog, bool shared);
-// Whether another socket is bound there now.
-bool Taken(const std::string& address);
-// The port that a socket is bound to.
-int PortOf(int socket);
+// Whether another socket is bound to the address now.
+bool AddressInUse(const std::string& address);
+// The local port of a bound socket.
+int BoundPort(int socket);
 
 }  // namespace peatbend::net
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -13,9 +13,9 @@
     : name_(std::move(name)),
       tuning_(tuning),
       clock_(clock),
-      out_(name_, std::make_shared<spdlog::sinks::stderr_sink_st>()) {
-  out_.set_formatter(std::make_unique<spdlog::pattern_formatter>("%v"));
-  out_.flush_on(spdlog::level::info);
+      logger_(name_, std::make_shared<spdlog::sinks::stderr_sink_st>()) {
+  logger_.set_formatter(std::make_unique<spdlog::pattern_formatter>("%v"));
+  logger_.flush_on(spdlog::level::info);
 }
 
 void Log::Line(std::string_view kind, std::string_view text) { Write(kind, text, {}); }
@@ -29,17 +29,17 @@
 }
 
 void Log::Write(std::string_view kind, std::string_view text, std::span<const Count> counts) {
-  Bound& bound = bounds_.try_emplace(std::string(kind)).first->second;
+  RateLimit& limit = rate_limits_.try_emplace(std::string(kind)).first->second;
   TimePoint now = clock_.Now();
-  if (now - bound.from >= tuning_.window) {
-    bound.from = now;
-    bound.lines = 0;
+  if (now - limit.window_start >= tuning_.window) {
+    limit.window_start = now;
+    limit.lines = 0;
   }
-  if (++bound.lines > tuning_.lines_of_a_kind) {
-    ++bound.suppressed;
+  if (++limit.lines > tuning_.lines_of_a_kind) {
+    ++limit.suppressed;
     return;
   }
-  std::uint64_t suppressed = std::exchange(bound.suppressed, 0);
+  std::uint64_t suppressed = std::exchange(limit.suppressed, 0);
   std::string line;
   if (tuning_.format == "json") {
     nlohmann::ordered_json object{
@@ -53,11 +53,11 @@
   } else {
     line = fmt::format("peatbend {}: {}: {}", name_, kind, text);
     if (suppressed > 0) line += fmt::format(" ({} lines of this kind suppressed)", suppressed);
-    // What a stranger sent must not forge a line.
+    // Text from the network must not be able to forge a log line.
     std::ranges::replace_if(
         line, [](char c) { return static_cast<unsigned char>(c) < ' '; }, ' ');
   }
-  out_.info(spdlog::string_view_t(line));
+  logger_.info(spdlog::string_view_t(line));
 }
 
 }  // namespace peatbend::net
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,6 +1,6 @@
-// Log lines on standard error, as text (`peatbend NAME: KIND: text`) or one JSON object a line with the same
-// kinds. Each kind may write so many lines in a window; what is beyond is suppressed and counted, and the
-// count is written with the next line of that kind. Written through spdlog, at once and in order.
+// Log lines on standard error, as text (`peatbend NAME: KIND: text`) or as one JSON object per line. Each
+// kind is limited to a number of lines per window; further lines are suppressed, and their count is added to
+// the next line of that kind. Lines are written synchronously through spdlog.
 #pragma once
 
 #include <spdlog/logger.h>
@@ -20,13 +20,13 @@
  public:
   Log(std::string name, const Tuning::LogLines& tuning, const Clock& clock);
   void Line(std::string_view kind, std::string_view text);
-  // A line of names and numbers: "a=1 b=2", or fields of the JSON object.
+  // Writes a line of named numbers: "a=1 b=2", or the member "counts" of the JSON object.
   using Count = std::pair<std::string, std::uint64_t>;
   void Metrics(std::string_view kind, std::span<const Count> counts);
 
  private:
-  struct Bound {
-    TimePoint from{};
+  struct RateLimit {
+    TimePoint window_start{};
     std::int64_t lines = 0;
     std::uint64_t suppressed = 0;
   };
@@ -35,8 +35,8 @@
   std::string name_;
   Tuning::LogLines tuning_;
   const Clock& clock_;
-  spdlog::logger out_;
-  std::map<std::string, Bound, std::less<>> bounds_;
+  spdlog::logger logger_;
+  std::map<std::string, RateLimit, std::less<>> rate_limits_;
 };
 
 }  // namespace peatbend::net
--- a/src/base/memory_budget.h
+++ b/src/base/memory_budget.h
@@ -1,4 +1,4 @@
-// The memory that large values may take, over all requests, and what is reserved of it.
+// A limit on the memory that the large values of all requests take, and reservations from it.
 #pragma once
 
 #include <algorithm>
@@ -8,11 +8,11 @@
 namespace peatbend::net {
 
 struct MemoryBudget {
-  std::size_t most = 64 * 1024 * 1024, held = 0;  // bytes
-  std::size_t free() const { return most - std::min(most, held); }
+  std::size_t max = 64 * 1024 * 1024, in_use = 0;  // bytes
+  std::size_t free() const { return max - std::min(max, in_use); }
 };
 
-// Bytes of the budget, given back at its end. The budget must outlive it.
+// Bytes reserved from a budget, returned by the destructor. The budget must outlive the reservation.
 class MemoryReservation {
  public:
   MemoryReservation() = default;
@@ -26,14 +26,15 @@
   }
   ~MemoryReservation() { Set(0); }
   std::size_t size() const { return size_; }
-  // Reserves `size` in all, whether there is room or not.
+  // Changes the reservation to `size` bytes, even beyond the maximum of the budget.
   void Set(std::size_t size) {
-    if (budget_ != nullptr) budget_->held = budget_->held - size_ + size;
+    if (budget_ != nullptr) budget_->in_use = budget_->in_use - size_ + size;
     size_ = size;
   }
-  // Reserves `size` in all, where there is room or nothing else is reserved.
+  // Changes the reservation to `size` bytes if the budget has room for that or has no other reservation.
+  // Returns false and changes nothing otherwise.
   bool Try(std::size_t size) {
-    if (size > size_ && budget_->held > 0 && size - size_ > budget_->free()) return false;
+    if (size > size_ && budget_->in_use > 0 && size - size_ > budget_->free()) return false;
     Set(size);
     return true;
   }
--- a/src/base/msgpack.h
+++ b/src/base/msgpack.h
@@ -1,7 +1,7 @@
-// Writing and reading MessagePack straight as bytes, with no values in between: what routers send each
-// other many times a second. A reader takes what a stranger may have written: nothing beyond the bytes,
-// nothing larger than is stated, and it fails once and for all at the first that does not fit. Allocates only
-// for texts.
+// A streaming MessagePack writer and reader without an intermediate representation, for messages that routers
+// send each other many times per second. The reader accepts untrusted input: it never reads past the end,
+// checks each value against the limit given, and stays failed after the first value that does not match. It
+// allocates only for strings.
 #pragma once
 
 #include <cstddef>
@@ -15,149 +15,152 @@
 
 class MsgpackWriter {
  public:
-  // Appends; `into` outlives it.
-  explicit MsgpackWriter(std::string& into) : into_(into) {}
+  // Appends to `out`, which must outlive the writer.
+  explicit MsgpackWriter(std::string& out) : out_(out) {}
   MsgpackWriter& Number(std::uint64_t number) {
     if (number < 0x80) return Byte(number);
     unsigned size = number <= 0xff ? 0 : number <= 0xffff ? 1 : number <= 0xffffffff ? 2 : 3;
-    return Led(0xcc + size, number, 1u << size);
+    return Prefixed(0xcc + size, number, 1u << size);
   }
   MsgpackWriter& Flag(bool flag) { return Byte(flag ? 0xc3 : 0xc2); }
   MsgpackWriter& Array(std::size_t size) {
     if (size < 16) return Byte(0x90 | size);
-    return size <= 0xffff ? Led(0xdc, size, 2) : Led(0xdd, size, 4);
+    return size <= 0xffff ? Prefixed(0xdc, size, 2) : Prefixed(0xdd, size, 4);
   }
   MsgpackWriter& Text(std::string_view text) {
     if (text.size() < 32) return Byte(0xa0 | text.size()).Raw(text);
     return Length(0xd9, text.size()).Raw(text);
   }
   MsgpackWriter& Blob(std::string_view bytes) { return Length(0xc4, bytes.size()).Raw(bytes); }
-  // Values that are written already.
+  // Appends values that are already encoded.
   MsgpackWriter& Raw(std::string_view bytes) {
-    into_.append(bytes);
+    out_.append(bytes);
     return *this;
   }
 
  private:
   MsgpackWriter& Byte(std::uint64_t byte) {
-    into_.push_back(static_cast<char>(byte));
+    out_.push_back(static_cast<char>(byte));
     return *this;
   }
-  // A first byte, and a number in so many, the highest first.
-  MsgpackWriter& Led(unsigned first, std::uint64_t number, unsigned size) {
-    char bytes[9] = {static_cast<char>(first)};
+  // Appends a type byte and `number` as `size` big-endian bytes.
+  MsgpackWriter& Prefixed(unsigned type, std::uint64_t number, unsigned size) {
+    char bytes[9] = {static_cast<char>(type)};
     for (unsigned i = size; i > 0; --i, number >>= 8) bytes[i] = static_cast<char>(number);
-    into_.append(bytes, size + 1);
+    out_.append(bytes, size + 1);
     return *this;
   }
-  MsgpackWriter& Length(unsigned first, std::size_t size) {
-    unsigned more = size <= 0xff ? 0 : size <= 0xffff ? 1 : 2;
-    return Led(first + more, size, 1u << more);
+  MsgpackWriter& Length(unsigned type, std::size_t size) {
+    unsigned width = size <= 0xff ? 0 : size <= 0xffff ? 1 : 2;
+    return Prefixed(type + width, size, 1u << width);
   }
-  std::string& into_;
+  std::string& out_;
 };
 
 class MsgpackReader {
  public:
-  // `bytes` outlive it.
-  explicit MsgpackReader(std::string_view bytes) : rest_(bytes) {}
+  // `bytes` must outlive the reader.
+  explicit MsgpackReader(std::string_view bytes) : input_(bytes) {}
   template <typename T>
-  MsgpackReader& Number(T& into, std::uint64_t most) {
+  MsgpackReader& Number(T& into, std::uint64_t max) {
     unsigned first = Byte();
     std::uint64_t number = first;
-    if (first >= 0x80) number = first >= 0xcc && first <= 0xcf ? Bytes(1u << (first - 0xcc)) : Fail();
-    if (number > most) Fail();
-    if (fine_) into = static_cast<T>(number);
+    if (first >= 0x80) number = first >= 0xcc && first <= 0xcf ? BigEndian(1u << (first - 0xcc)) : Fail();
+    if (number > max) Fail();
+    if (ok_) into = static_cast<T>(number);
     return *this;
   }
   MsgpackReader& Flag(bool& into) {
     unsigned first = Byte();
     if (first != 0xc2 && first != 0xc3) Fail();
-    if (fine_) into = first == 0xc3;
+    if (ok_) into = first == 0xc3;
     return *this;
   }
-  // An array's beginning; what is in it follows.
-  MsgpackReader& Array(std::size_t& size, std::size_t least, std::size_t most) {
+  // Reads the header of an array of `min` to `max` elements; read the elements next.
+  MsgpackReader& Array(std::size_t& size, std::size_t min, std::size_t max) {
     unsigned first = Byte();
-    std::uint64_t many = first & 0x0f;
-    if (first < 0x90 || first > 0x9f) many = first == 0xdc ? Bytes(2) : first == 0xdd ? Bytes(4) : Fail();
-    if (many < least || many > most) Fail();
-    size = fine_ ? static_cast<std::size_t>(many) : 0;
+    std::uint64_t count = first & 0x0f;
+    if (first < 0x90 || first > 0x9f)
+      count = first == 0xdc ? BigEndian(2) : first == 0xdd ? BigEndian(4) : Fail();
+    if (count < min || count > max) Fail();
+    size = ok_ ? static_cast<std::size_t>(count) : 0;
     return *this;
   }
-  MsgpackReader& Text(std::string& into, std::size_t most) {
+  MsgpackReader& Text(std::string& into, std::size_t max) {
     unsigned first = Byte();
     std::uint64_t size = first & 0x1f;
     if (first < 0xa0 || first > 0xbf)
-      size = first >= 0xd9 && first <= 0xdb ? Bytes(1u << (first - 0xd9)) : Fail();
-    return Take(into, size, most);
+      size = first >= 0xd9 && first <= 0xdb ? BigEndian(1u << (first - 0xd9)) : Fail();
+    return ReadBytes(into, size, max);
   }
-  MsgpackReader& Blob(std::string& into, std::size_t most) {
+  MsgpackReader& Blob(std::string& into, std::size_t max) {
     unsigned first = Byte();
-    return Take(into, first >= 0xc4 && first <= 0xc6 ? Bytes(1u << (first - 0xc4)) : Fail(), most);
-  }
-  // Passes over so many values of any kind, nested no deeper than that.
-  MsgpackReader& Skip(std::size_t values, int deepest);
-  bool fine() const { return fine_; }
-  bool done() const { return fine_ && rest_.empty(); }
+    return ReadBytes(into, first >= 0xc4 && first <= 0xc6 ? BigEndian(1u << (first - 0xc4)) : Fail(), max);
+  }
+  // Skips `values` values of any type, nested at most `max_depth` deep.
+  MsgpackReader& Skip(std::size_t values, int max_depth);
+  // Whether every value so far was as expected.
+  bool ok() const { return ok_; }
+  // As ok(), with all input consumed.
+  bool at_end() const { return ok_ && input_.empty(); }
 
  private:
   std::uint64_t Fail() {
-    fine_ = false;
-    rest_ = {};
+    ok_ = false;
+    input_ = {};
     return 0;
   }
-  unsigned Byte() { return static_cast<unsigned>(Bytes(1)); }
-  std::uint64_t Bytes(std::size_t size) {
-    if (rest_.size() < size) return Fail();
+  unsigned Byte() { return static_cast<unsigned>(BigEndian(1)); }
+  std::uint64_t BigEndian(std::size_t size) {
+    if (input_.size() < size) return Fail();
     std::uint64_t number = 0;
-    for (std::size_t i = 0; i < size; ++i) number = number << 8 | static_cast<unsigned char>(rest_[i]);
-    rest_.remove_prefix(size);
+    for (std::size_t i = 0; i < size; ++i) number = number << 8 | static_cast<unsigned char>(input_[i]);
+    input_.remove_prefix(size);
     return number;
   }
-  MsgpackReader& Take(std::string& into, std::uint64_t size, std::size_t most) {
-    if (size > most || size > rest_.size()) Fail();
-    if (!fine_) return *this;
-    into.assign(rest_.substr(0, size));
-    rest_.remove_prefix(size);
+  MsgpackReader& ReadBytes(std::string& into, std::uint64_t size, std::size_t max) {
+    if (size > max || size > input_.size()) Fail();
+    if (!ok_) return *this;
+    into.assign(input_.substr(0, size));
+    input_.remove_prefix(size);
     return *this;
   }
-  void Pass(std::uint64_t size) {
-    if (size > rest_.size()) return void(Fail());
-    rest_.remove_prefix(size);
+  void SkipBytes(std::uint64_t size) {
+    if (size > input_.size()) return void(Fail());
+    input_.remove_prefix(size);
   }
-  std::string_view rest_;
-  bool fine_ = true;
+  std::string_view input_;
+  bool ok_ = true;
 };
 
-inline MsgpackReader& MsgpackReader::Skip(std::size_t values, int deepest) {
-  for (; values > 0 && fine_; --values) {
+inline MsgpackReader& MsgpackReader::Skip(std::size_t values, int max_depth) {
+  for (; values > 0 && ok_; --values) {
     unsigned first = Byte();
-    std::uint64_t within = 0;  // values nested in it
+    std::uint64_t nested = 0;  // values in this array or map
     if (first < 0x80 || first >= 0xe0 || first == 0xc0 || first == 0xc2 || first == 0xc3) continue;
     if (first < 0xa0) {
-      within = (first & 0x0f) * (first < 0x90 ? 2u : 1u);
+      nested = (first & 0x0f) * (first < 0x90 ? 2u : 1u);
     } else if (first < 0xc0) {
-      Pass(first & 0x1f);
+      SkipBytes(first & 0x1f);
     } else if (first >= 0xc4 && first <= 0xc6) {
-      Pass(Bytes(1u << (first - 0xc4)));
+      SkipBytes(BigEndian(1u << (first - 0xc4)));
     } else if (first >= 0xc7 && first <= 0xc9) {
-      Pass(Bytes(1u << (first - 0xc7)) + 1);
+      SkipBytes(BigEndian(1u << (first - 0xc7)) + 1);
     } else if (first == 0xca || first == 0xcb) {
-      Pass(first == 0xca ? 4 : 8);
+      SkipBytes(first == 0xca ? 4 : 8);
     } else if (first >= 0xcc && first <= 0xd3) {
-      Pass(1u << (first & 3));
+      SkipBytes(1u << (first & 3));
     } else if (first >= 0xd4 && first <= 0xd8) {
-      Pass((1u << (first - 0xd4)) + 1);
+      SkipBytes((1u << (first - 0xd4)) + 1);
     } else if (first >= 0xd9 && first <= 0xdb) {
-      Pass(Bytes(1u << (first - 0xd9)));
+      SkipBytes(BigEndian(1u << (first - 0xd9)));
     } else if (first >= 0xdc) {
-      within = Bytes(first % 2 == 0 ? 2 : 4) * (first >= 0xde ? 2u : 1u);
+      nested = BigEndian(first % 2 == 0 ? 2 : 4) * (first >= 0xde ? 2u : 1u);
     } else {
-      Fail();  // 0xc1 begins nothing
+      Fail();  // 0xc1 is never used in MessagePack
     }
-    if (within > 0 && deepest <= 0) Fail();
-    if (within > 0) Skip(within, deepest - 1);
+    if (nested > 0 && max_depth <= 0) Fail();
+    if (nested > 0) Skip(nested, max_depth - 1);
   }
   return *this;
 }
--- a/src/base/msgpack_fields.h
+++ b/src/base/msgpack_fields.h
@@ -1,4 +1,4 @@
-// Reading MessagePack that a stranger may have written: arrays of fields, taken one after another.
+// Reading of untrusted MessagePack arrays, field by field.
 #pragma once
 
 #include <cstdint>
@@ -11,10 +11,10 @@
 
 namespace peatbend::net {
 
-// Ends the reading of what is nested deeper than any message, before it costs stack.
+// Stops parsing at input nested deeper than any valid message, before it exhausts the stack.
 class DepthGuard : public nlohmann::json_sax<nlohmann::json> {
  public:
-  explicit DepthGuard(int deepest) : deepest_(deepest) {}
+  explicit DepthGuard(int max_depth) : max_depth_(max_depth) {}
   bool null() override { return true; }
   bool boolean(bool) override { return true; }
   bool number_integer(number_integer_t) override { return true; }
@@ -22,94 +22,98 @@
   bool number_float(number_float_t, const string_t&) override { return true; }
   bool string(string_t&) override { return true; }
   bool binary(binary_t&) override { return true; }
-  bool start_object(std::size_t) override { return ++depth_ <= deepest_; }
+  bool start_object(std::size_t) override { return ++depth_ <= max_depth_; }
   bool key(string_t&) override { return true; }
   bool end_object() override { return depth_-- > 0; }
-  bool start_array(std::size_t) override { return ++depth_ <= deepest_; }
+  bool start_array(std::size_t) override { return ++depth_ <= max_depth_; }
   bool end_array() override { return depth_-- > 0; }
   bool parse_error(std::size_t, const std::string&, const nlohmann::detail::exception&) override {
     return false;
   }
 
  private:
-  int deepest_, depth_ = 0;
+  int max_depth_, depth_ = 0;
 };
 
 inline nlohmann::json Blob(const std::string& text) {
   return nlohmann::json::binary({text.begin(), text.end()});
 }
 
-// Discarded where the bytes are no whole value, or one that is nested deeper.
-inline nlohmann::json Unpack(std::string_view bytes, int deepest) {
-  DepthGuard guard(deepest);
+// Parses one value. The result is_discarded() if the bytes are not exactly one value, or are nested deeper
+// than `max_depth`.
+inline nlohmann::json Unpack(std::string_view bytes, int max_depth) {
+  DepthGuard guard(max_depth);
   if (!nlohmann::json::sax_parse(bytes, &guard, nlohmann::json::input_format_t::msgpack))
     return nlohmann::json(nlohmann::json::value_t::discarded);
   return nlohmann::json::from_msgpack(bytes, true, false);
 }
 
-// Takes the fields of an array one after another; fails once and for all at the first that does not fit.
+// Reads the fields of an array in order; stays failed after the first field of another type or beyond its
+// limit.
 class FieldReader {
  public:
-  explicit FieldReader(const nlohmann::json& array) : array_(array), fine_(array.is_array()) {}
+  explicit FieldReader(const nlohmann::json& array) : array_(array), ok_(array.is_array()) {}
   template <typename T>
-  FieldReader& Number(T& into, std::uint64_t most) {
-    const nlohmann::json* at = Next();
-    if (at == nullptr || !at->is_number_unsigned() || at->get<std::uint64_t>() > most) return Fail();
-    into = static_cast<T>(at->get<std::uint64_t>());
+  FieldReader& Number(T& into, std::uint64_t max) {
+    const nlohmann::json* field = Next();
+    if (field == nullptr || !field->is_number_unsigned() || field->get<std::uint64_t>() > max) return Fail();
+    into = static_cast<T>(field->get<std::uint64_t>());
     return *this;
   }
   FieldReader& Flag(bool& into) {
-    const nlohmann::json* at = Next();
-    if (at == nullptr || !at->is_boolean()) return Fail();
-    into = at->get<bool>();
+    const nlohmann::json* field = Next();
+    if (field == nullptr || !field->is_boolean()) return Fail();
+    into = field->get<bool>();
     return *this;
   }
-  FieldReader& Text(std::string& into, std::size_t most) {
-    const nlohmann::json* at = Next();
-    if (at == nullptr || !at->is_string()) return Fail();
-    const auto& text = at->get_ref<const std::string&>();
-    if (text.size() > most) return Fail();
+  FieldReader& Text(std::string& into, std::size_t max) {
+    const nlohmann::json* field = Next();
+    if (field == nullptr || !field->is_string()) return Fail();
+    const auto& text = field->get_ref<const std::string&>();
+    if (text.size() > max) return Fail();
     into = text;
     return *this;
   }
-  FieldReader& Blob(std::string& into, std::size_t most) {
-    const nlohmann::json* at = Next();
-    if (at == nullptr || !at->is_binary() || at->get_binary().size() > most) return Fail();
-    into.assign(at->get_binary().begin(), at->get_binary().end());
+  FieldReader& Blob(std::string& into, std::size_t max) {
+    const nlohmann::json* field = Next();
+    if (field == nullptr || !field->is_binary() || field->get_binary().size() > max) return Fail();
+    into.assign(field->get_binary().begin(), field->get_binary().end());
     return *this;
   }
+  // The next field as it is; null if there is none or a field has failed.
   const nlohmann::json* Next() {
-    if (!fine_ || place_ >= array_.size()) return nullptr;
-    return &array_[place_++];
+    if (!ok_ || position_ >= array_.size()) return nullptr;
+    return &array_[position_++];
   }
-  bool fine() const { return fine_; }
+  bool ok() const { return ok_; }
 
  private:
   FieldReader& Fail() {
-    fine_ = false;
+    ok_ = false;
     return *this;
   }
   const nlohmann::json& array_;
-  std::size_t place_ = 0;
-  bool fine_;
+  std::size_t position_ = 0;
+  bool ok_;
 };
 
-// Reads [replica set, [one, ...]], each one by `read`. `all` is whole where there is no error, else empty.
-template <typename One, typename Read>
-DecodeError ReadEnvelope(std::string_view bytes, int deepest, std::uint64_t replica_set, std::size_t most,
-                         std::vector<One>& all, Read read) {
-  all.clear();
-  nlohmann::json array = Unpack(bytes, deepest);
+// Decodes [replica set, [message, ...]], each message by `read`, whose result is whether it succeeded.
+// `messages` is empty unless the result is kNone.
+template <typename Message, typename Read>
+DecodeError ReadEnvelope(std::string_view bytes, int max_depth, std::uint64_t replica_set, std::size_t max,
+                         std::vector<Message>& messages, Read read) {
+  messages.clear();
+  nlohmann::json array = Unpack(bytes, max_depth);
   if (array.is_discarded()) return DecodeError::kMalformed;
   FieldReader fields(array);
-  std::uint64_t its_set = 0;
-  const nlohmann::json* ones = fields.Number(its_set, kAny).Next();
-  if (!fields.fine() || ones == nullptr || !ones->is_array() || ones->size() > most)
+  std::uint64_t sender_set = 0;
+  const nlohmann::json* elements = fields.Number(sender_set, kUnbounded).Next();
+  if (!fields.ok() || elements == nullptr || !elements->is_array() || elements->size() > max)
     return DecodeError::kMalformed;
-  if (its_set != replica_set) return DecodeError::kReplicaSet;
-  for (const nlohmann::json& one : *ones) {
-    if (read(one, all.emplace_back())) continue;
-    all.clear();
+  if (sender_set != replica_set) return DecodeError::kReplicaSet;
+  for (const nlohmann::json& element : *elements) {
+    if (read(element, messages.emplace_back())) continue;
+    messages.clear();
     return DecodeError::kMalformed;
   }
   return DecodeError::kNone;
--- a/src/base/nonce.h
+++ b/src/base/nonce.h
@@ -1,5 +1,5 @@
-// A number that no other start of any process has: what is agreed rests on it, so it is drawn whole from the
-// system.
+// Random numbers that identify one start of a process. Consensus relies on their uniqueness, so all 64 bits
+// come from the system's random source.
 #pragma once
 
 #include <cstdint>
@@ -7,7 +7,7 @@
 
 namespace peatbend::net {
 
-inline std::uint64_t Nonce() {
+inline std::uint64_t GenerateNonce() {
   std::random_device device;
   return static_cast<std::uint64_t>(device()) << 32 | device();
 }
--- a/src/base/socket_budget.h
+++ b/src/base/socket_budget.h
@@ -1,4 +1,4 @@
-// How many sockets the program may hold, and holds: clients' and pool members' together.
+// A limit on the sockets that the program may have open, those of clients and of members together.
 #pragma once
 
 #include <cstddef>
@@ -6,9 +6,9 @@
 namespace peatbend::net {
 
 struct SocketBudget {
-  std::size_t most = 1024;
-  std::size_t held = 0;
-  std::size_t limit = 1024;  // of the deployment, for all that the program holds
+  std::size_t max = 1024;             // that may be open now
+  std::size_t in_use = 0;             // that are open
+  std::size_t configured_max = 1024;  // by the deployment, for all descriptors of the program
 };
 
 }  // namespace peatbend::net
--- a/src/base/text.h
+++ b/src/base/text.h
@@ -1,4 +1,4 @@
-// Reading numbers and parts out of text.
+// Parsing of numbers and separated fields.
 #pragma once
 
 #include <charconv>
@@ -8,26 +8,27 @@
 
 namespace peatbend {
 
-// Whether the whole text is one number, finite and in range.
+// Parses the whole text as one number. Returns false, with `value` unspecified, unless the number is finite
+// and in the range of its type.
 template <typename T>
 bool ParseNumber(std::string_view text, T& value, int base = 10) {
   const char* end = text.data() + text.size();
-  std::from_chars_result got{};
+  std::from_chars_result result{};
   if constexpr (std::is_floating_point_v<T>) {
-    got = std::from_chars(text.data(), end, value);
-    if (got.ec == std::errc() && !std::isfinite(value)) return false;
+    result = std::from_chars(text.data(), end, value);
+    if (result.ec == std::errc() && !std::isfinite(value)) return false;
   } else {
-    got = std::from_chars(text.data(), end, value, base);
+    result = std::from_chars(text.data(), end, value, base);
   }
-  return got.ec == std::errc() && got.ptr == end && !text.empty();
+  return result.ec == std::errc() && result.ptr == end && !text.empty();
 }
 
-// Takes what stands before the next `separator` off the front of `text`.
-inline std::string_view Cut(std::string_view& text, char separator) {
-  std::size_t at = text.find(separator);
-  std::string_view head = text.substr(0, at);
-  text.remove_prefix(at == std::string_view::npos ? text.size() : at + 1);
-  return head;
+// Returns the text before the next `separator`, or all of it, and removes it and the separator from `text`.
+inline std::string_view NextField(std::string_view& text, char separator) {
+  std::size_t end = text.find(separator);
+  std::string_view field = text.substr(0, end);
+  text.remove_prefix(end == std::string_view::npos ? text.size() : end + 1);
+  return field;
 }
 
 }  // namespace peatbend
--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -29,8 +29,8 @@
 Settings ParseSettings(std::string_view pairs) {
   Settings settings;
   while (!pairs.empty()) {
-    std::string_view value = Cut(pairs, ' ');
-    std::string_view path = Cut(value, '=');
+    std::string_view value = NextField(pairs, ' ');
+    std::string_view path = NextField(value, '=');
     SetByPath(settings, path, value);
   }
   return settings;
@@ -156,7 +156,7 @@
 bool Session::TakeLine(std::string_view line, std::string& reply) {
   ++line_;
   std::string_view rest = line;
-  std::string_view name = Cut(rest, ' ');
+  std::string_view name = NextField(rest, ' ');
   if (name.empty() && rest.empty()) {
     if (in_batch_) Bad("an event or END", "an empty line");
     return false;
--- a/src/compat/catalogue.cpp
+++ b/src/compat/catalogue.cpp
@@ -7,7 +7,7 @@
 namespace peatbend::compat {
 
 using net::FieldReader;
-using net::kAny;
+using net::kUnbounded;
 using nlohmann::json;
 
 namespace {
@@ -251,8 +251,8 @@
     FieldReader fields(each);
     fields.Text(version.schema, limits.bytes)
         .Number(version.language, 0xffffffffu)
-        .Number(version.print, kAny);
-    if (!fields.fine() || version.schema.empty() != (carries == Carries::kLanguages)) return false;
+        .Number(version.print, kUnbounded);
+    if (!fields.ok() || version.schema.empty() != (carries == Carries::kLanguages)) return false;
   }
   return true;
 }
@@ -264,7 +264,7 @@
     Standing standing;
     FieldReader fields(each);
     fields.Text(name, bounds.name)
-        .Number(standing.statement, kAny)
+        .Number(standing.statement, kUnbounded)
         .Number(standing.evidence, static_cast<std::uint64_t>(Evidence::kRetired))
         .Text(standing.retired_by, bounds.name)
         .Text(standing.why, bounds.name);
@@ -300,7 +300,7 @@
         .Number(subject.policy.carries, static_cast<std::uint64_t>(Carries::kLanguages))
         .Number(subject.policy.mode, static_cast<std::uint64_t>(Mode::kBoth))
         .Number(subject.policy.beside, static_cast<std::uint64_t>(Beside::kInUse));
-    if (!of.fine() || !ReadVersions(of.Next(), subject.policy.carries, Limits{}, subject.versions) ||
+    if (!of.ok() || !ReadVersions(of.Next(), subject.policy.carries, Limits{}, subject.versions) ||
         !ReadReaders(of.Next(), bounds, subject.readers))
       return std::nullopt;
     for (const Version& version : subject.versions) {
--- a/src/compat/wire.cpp
+++ b/src/compat/wire.cpp
@@ -9,7 +9,7 @@
 
 using failover::Ballot;
 using net::FieldReader;
-using net::kAny;
+using net::kUnbounded;
 using nlohmann::json;
 
 constexpr int kNested = 4;
@@ -22,11 +22,11 @@
 bool Read(const json* from, Ballot& ballot) {
   if (from == nullptr) return false;
   FieldReader fields(*from);
-  return fields.Number(ballot.round, kAny)
+  return fields.Number(ballot.round, kUnbounded)
       .Text(ballot.proposer.name, kMostName)
-      .Number(ballot.proposer.life, kAny)
-      .Number(ballot.proposer.proposal, kAny)
-      .fine();
+      .Number(ballot.proposer.life, kUnbounded)
+      .Number(ballot.proposer.proposal, kUnbounded)
+      .ok();
 }
 
 json ToJson(const std::map<std::string, std::uint64_t>& numbers) {
@@ -39,7 +39,7 @@
   for (const json& one : *from) {
     std::string name;
     std::uint64_t number = 0;
-    if (!FieldReader(one).Text(name, kMostName).Number(number, kAny).fine()) return false;
+    if (!FieldReader(one).Text(name, kMostName).Number(number, kUnbounded).ok()) return false;
     numbers[name] = number;
   }
   return true;
@@ -61,13 +61,13 @@
   if (array.is_discarded()) return DecodeError::kMalformed;
   FieldReader fields(array);
   std::uint64_t its_seats = 0;
-  fields.Number(its_seats, kAny)
+  fields.Number(its_seats, kUnbounded)
       .Number(say.kind, static_cast<std::uint64_t>(SayKind::kBook))
-      .Number(say.number, kAny)
-      .Number(say.print, kAny)
-      .Number(say.at, kAny)
-      .Number(say.total, kAny);
-  if (!fields.fine() || !Read(fields.Next(), say.ballot) || !fields.Blob(say.bytes, kMostChunk).fine())
+      .Number(say.number, kUnbounded)
+      .Number(say.print, kUnbounded)
+      .Number(say.at, kUnbounded)
+      .Number(say.total, kUnbounded);
+  if (!fields.ok() || !Read(fields.Next(), say.ballot) || !fields.Blob(say.bytes, kMostChunk).ok())
     return DecodeError::kMalformed;
   return its_seats == seats ? DecodeError::kNone : DecodeError::kReplicaSet;
 }
@@ -86,12 +86,12 @@
   Memory read;
   std::uint64_t form = 0;
   FieldReader fields(array);
-  fields.Number(form, kForm).Flag(read.sits).Number(read.life, kAny).Number(read.founding, kAny);
-  if (!fields.fine() || form != kForm || !compat::Read(fields.Next(), read.promised) ||
+  fields.Number(form, kForm).Flag(read.sits).Number(read.life, kUnbounded).Number(read.founding, kUnbounded);
+  if (!fields.ok() || form != kForm || !compat::Read(fields.Next(), read.promised) ||
       !compat::Read(fields.Next(), read.kept))
     return std::nullopt;
   fields.Number(read.version, 0xffffffffu).Blob(read.value, kMostValue);
-  if (!fields.fine() || !compat::Read(fields.Next(), read.words) ||
+  if (!fields.ok() || !compat::Read(fields.Next(), read.words) ||
       !compat::Read(fields.Next(), read.foundings))
     return std::nullopt;
   return read;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -105,7 +105,7 @@
   sockaddr_storage to{};
   int size = 0;
   try {
-    net::ReadAddress(text, to, size);
+    net::ParseAddress(text, to, size);
   } catch (const std::invalid_argument& error) {
     throw ConfigError(std::string(key) + ": " + error.what());
   }
--- a/src/config/file.cpp
+++ b/src/config/file.cpp
@@ -179,7 +179,7 @@
   void Subject(const toml::node& node, const std::string& key) {
     std::string_view rest = std::string_view(key).substr(std::string_view("publications.subjects.").size());
     std::size_t place = 0;
-    ParseNumber(Cut(rest, '.'), place);
+    ParseNumber(NextField(rest, '.'), place);
     if (file_.subjects.is_null()) file_.subjects = json::array();
     while (file_.subjects.size() <= place) file_.subjects.push_back(json::object());
     json& one = file_.subjects[place];
@@ -212,7 +212,7 @@
     }
     std::string pointer;
     std::string_view rest = std::string_view(key).substr(key.find('.') + 1);
-    while (!rest.empty()) pointer.append("/").append(Cut(rest, '.'));
+    while (!rest.empty()) pointer.append("/").append(NextField(rest, '.'));
     if (file_.deployment.is_null()) file_.deployment = json::object();
     file_.deployment[json::json_pointer(pointer)] = std::move(value);
   }
--- a/src/config/subjects.cpp
+++ b/src/config/subjects.cpp
@@ -122,8 +122,8 @@
       compat::Retirement one;
       std::string text = line.get<std::string>();
       std::string_view rest = text;
-      one.reader = Cut(rest, ' ');
-      bool number = ParseNumber(Cut(rest, ' '), one.statement);
+      one.reader = NextField(rest, ' ');
+      bool number = ParseNumber(NextField(rest, ' '), one.statement);
       one.why = rest;
       if (one.reader.empty() || !number || one.why.empty() || one.why.size() > kLongestName)
         Fault("retire", fmt::format("\"READER STATEMENT WHY\" expected, not \"{}\"", text));
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -43,7 +43,7 @@
         ++unfinished_lists_;
         Failed("a list that does not end");
       }) {
-  ReadAddress(address, to_, to_size_);
+  ParseAddress(address, to_, to_size_);
   known.snapshot = true;
   Hold(known);
 }
@@ -83,7 +83,7 @@
 // Versions are one discovery's own: a number of the old one's, told to the new, could skip changes or wait
 // for one that never comes. So the whole list is asked for.
 void DiscoveryWatch::MoveTo(const std::string& address) {
-  ReadAddress(address, to_, to_size_);
+  ParseAddress(address, to_, to_size_);
   address_ = address;
   index_ = 0;
   unfinished_lists_ = 0;
@@ -116,7 +116,7 @@
   evbuffer_drain(body, evbuffer_get_length(body));
   if (status == http1::ResponseReader::Status::kDone) return Failed("watch ended");
   std::size_t begun = splitter_->begun();
-  if (begun > 0 && !late_.set()) late_.Set(ListTimeout(tuning_.silence, unfinished_lists_));
+  if (begun > 0 && !late_.pending()) late_.Set(ListTimeout(tuning_.silence, unfinished_lists_));
   if (begun >= seen_ + kPiece) Alive(begun);
 }
 
--- a/src/discovery/server_list.cpp
+++ b/src/discovery/server_list.cpp
@@ -53,7 +53,7 @@
   bool gone = entry.entry.listed == Listed::kGone;
   std::string none;
   entry.address = Field<std::string>(object, "address", gone ? &none : nullptr);
-  if (!entry.address.empty()) ReadAddress(entry.address, entry.to, entry.to_size);
+  if (!entry.address.empty()) ParseAddress(entry.address, entry.to, entry.to_size);
   entry.entry.zone = IndexOf(settings.zones, FieldOr<std::string>(object, "zone", ""));
   entry.entry.kind = IndexOf(settings.kinds, FieldOr<std::string>(object, "type", ""));
   entry.entry.cell = FieldOr<int>(object, "group", 0);
--- a/src/failover/wire.cpp
+++ b/src/failover/wire.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 using net::FieldReader;
-using net::kAny;
+using net::kUnbounded;
 using nlohmann::json;
 
 constexpr int kDeepest = 6;  // all, messages, message, state, attempts, attempt, proposer
@@ -32,14 +32,14 @@
   if (from == nullptr) return false;
   FieldReader fields(*from);
   return fields.Text(proposer.name, kMostName)
-      .Number(proposer.life, kAny)
-      .Number(proposer.proposal, kAny)
-      .fine();
+      .Number(proposer.life, kUnbounded)
+      .Number(proposer.proposal, kUnbounded)
+      .ok();
 }
 bool Read(const json* from, Ballot& ballot) {
   if (from == nullptr) return false;
   FieldReader fields(*from);
-  return fields.Number(ballot.round, kAny).fine() && Read(fields.Next(), ballot.proposer);
+  return fields.Number(ballot.round, kUnbounded).ok() && Read(fields.Next(), ballot.proposer);
 }
 bool Read(const json* from, RecordState& state) {
   if (from == nullptr) return false;
@@ -53,32 +53,31 @@
     if (!of_attempt.Number(attempt.number, 0xffffffffu)
              .Text(attempt.server, 256)
              .Flag(attempt.may_have_run)
-             .fine())
+             .ok())
       return false;
   }
   return fields.Number(state.outcome, static_cast<std::uint64_t>(OperationOutcome::kRejected))
       .Blob(state.value, kMaxValue)
       .Flag(state.kept)
       .Flag(state.released)
-      .fine();
+      .ok();
 }
 bool Read(const json& from, Message& m) {
   FieldReader fields(from);
   fields.Number(m.kind, static_cast<std::uint64_t>(Kind::kSyncRecord)).Text(m.operation, kMaxOperationKey);
   bool of_no_operation = m.kind == Kind::kSyncRequest || m.kind == Kind::kSyncDone;
-  if (!fields.fine() || m.operation.empty() != of_no_operation || !Read(fields.Next(), m.ballot))
-    return false;
+  if (!fields.ok() || m.operation.empty() != of_no_operation || !Read(fields.Next(), m.ballot)) return false;
   std::uint64_t age = 0;
   fields.Number(m.version, 0xffffffffu).Number(age, kMostAge);
   fields.Number(m.nack, static_cast<std::uint64_t>(Nack::kFull));
   m.age = Span(age);
-  if (!fields.fine() || !Read(fields.Next(), m.kept) || !Read(fields.Next(), m.promised) ||
+  if (!fields.ok() || !Read(fields.Next(), m.kept) || !Read(fields.Next(), m.promised) ||
       !Read(fields.Next(), m.state))
     return false;
-  for (std::uint64_t& life : m.lives) fields.Number(life, kAny);
+  for (std::uint64_t& life : m.lives) fields.Number(life, kUnbounded);
   fields.Flag(m.copied);
   const json* syncs = fields.Next();
-  if (!fields.fine() || syncs == nullptr || !syncs->is_array() || syncs->size() > kMostSyncs) return false;
+  if (!fields.ok() || syncs == nullptr || !syncs->is_array() || syncs->size() > kMostSyncs) return false;
   for (const json& one : *syncs) {
     if (!one.is_string() || one.get_ref<const std::string&>().size() > kMostName) return false;
     m.syncs.push_back(one.get<std::string>());
--- a/src/front/client_session.cpp
+++ b/src/front/client_session.cpp
@@ -316,7 +316,7 @@
 Duration ClientSession::Linger() const {
   if ((bufferevent_get_enabled(socket_.get()) & EV_READ) != 0) return tuning_.linger;
   evutil_socket_t socket = bufferevent_getfd(socket_.get());
-  if (Ended(socket)) return Duration::zero();  // reading would have told
+  if (PeerClosed(socket)) return Duration::zero();  // reading would have told
   bool soon = last_call_ && !HasUnacknowledged(socket);
   return soon ? std::min(tuning_.linger, kLastLinger) : tuning_.linger;
 }
--- a/src/front/client_session.h
+++ b/src/front/client_session.h
@@ -10,7 +10,7 @@
 #include "base/counters.h"
 #include "base/event_handles.h"
 #include "base/log.h"
-#include "base/other_end.h"
+#include "base/socket_peek.h"
 #include "base/tuning.h"
 #include "front/answer_queue.h"
 #include "front/client_command.h"
@@ -100,7 +100,7 @@
   // What came before its end is what a client that has gone has asked for.
   static void OnRead(bufferevent* socket, void* self) {
     auto* session = static_cast<ClientSession*>(self);
-    PeekUnread(bufferevent_getfd(socket)) == Unread::kEnd ? session->Leave() : session->Read();
+    PeekInput(bufferevent_getfd(socket)) == SocketInput::kEnd ? session->Leave() : session->Read();
   }
   static void OnWritten(bufferevent*, void* self) { static_cast<ClientSession*>(self)->Written(); }
   static void OnEvent(bufferevent*, short what, void* self);
@@ -123,7 +123,7 @@
   bool Crowded() const;
   void Leave();
   std::uint64_t Client() {
-    if (!client_) client_ = HashOfPeer(bufferevent_getfd(socket_.get()));
+    if (!client_) client_ = HashPeerAddress(bufferevent_getfd(socket_.get()));
     return *client_;
   }
 
--- a/src/front/listener.cpp
+++ b/src/front/listener.cpp
@@ -62,7 +62,7 @@
   while (!sessions_.empty()) End(*sessions_.back());
 }
 
-int Listener::port() const { return PortOf(socket()); }
+int Listener::port() const { return BoundPort(socket()); }
 
 void Listener::Pause(Duration pause) {
   if (!listener_) return;
@@ -78,17 +78,17 @@
 
 ClientSession& Listener::Accepted(evutil_socket_t socket) {
   ++counters_.clients_accepted;
-  ++sockets_.held;
+  ++sockets_.in_use;
   sessions_.push_back(std::make_unique<ClientSession>(*this, base_, socket, decision_, settings_, tuning_,
                                                       clock_, log_, counters_));
   sessions_.back()->self = std::prev(sessions_.end());
   bool closed = false;
-  if (sessions_.size() > Part(sockets_.most, tuning_.share) || sockets_.held >= sockets_.most) {
+  if (sessions_.size() > Part(sockets_.max, tuning_.share) || sockets_.in_use >= sockets_.max) {
     closed = MakeRoom();
     // What comes waits, so that no crowd takes the members' descriptors.
     if (!closed) Pause(tuning_.accept_pause);
   }
-  if (sessions_.size() > Part(sockets_.limit, tuning_.held_share)) closed |= CloseHeld();
+  if (sessions_.size() > Part(sockets_.configured_max, tuning_.held_share)) closed |= CloseHeld();
   // A closed session's descriptor is free at the end of this turn of the loop, which accepts all that waits.
   if (closed) Pause({});
   return *sessions_.back();
@@ -161,7 +161,7 @@
 // once and keep their connection: they would fill that part before the idle time is over, and nobody else
 // could ask.
 bool Listener::CloseHeld() {
-  std::size_t held = 0, begin = 0, most = Part(sockets_.limit, tuning_.held_share);
+  std::size_t held = 0, begin = 0, most = Part(sockets_.configured_max, tuning_.held_share);
   ClientSession* best = nullptr;
   for (auto& session : sessions_) {
     if (session->requests() == 0) {
@@ -197,7 +197,7 @@
       End(session);
     } else if (session.due() <= now) {
       session.Overdue();
-    } else if (sessions_.size() > Part(sockets_.most, tuning_.crowded_share) &&
+    } else if (sessions_.size() > Part(sockets_.max, tuning_.crowded_share) &&
                now - session.quiet_since() > tuning_.silent_in_crowd &&
                session.spare() == ClientSession::Spare::kSilent && session.closes_cleanly()) {
       ++counters_.clients_closed_for_room;
@@ -224,9 +224,9 @@
 
 void Listener::End(ClientSession& session) {
   ++counters_.clients_closed;
-  --sockets_.held;
+  --sockets_.in_use;
   sessions_.erase(session.self);
-  if (then_ && sessions_.empty()) stopped_.SetNow();
+  if (then_ && sessions_.empty()) stopped_.Activate();
 }
 
 void Listener::EndSoon(TimePoint read_until, TimePoint answer_by) {
@@ -256,7 +256,7 @@
   if (doors_.rest() != Doors::Rest::kGoesToSuccessor) EmptyAcceptQueue();  // a successor accepts from it
   listener_.reset();
   EndWhatRests();
-  if (sessions_.empty()) stopped_.SetNow();
+  if (sessions_.empty()) stopped_.Activate();
 }
 
 }  // namespace peatbend::net
--- a/src/front/read_pause.h
+++ b/src/front/read_pause.h
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "base/event_handles.h"
-#include "base/other_end.h"
+#include "base/socket_peek.h"
 
 namespace peatbend::net {
 
@@ -22,7 +22,7 @@
 
   void Pause() {
     bufferevent_disable(socket_, EV_READ);
-    if (!timer_.set()) timer_.Set(kLookEvery);
+    if (!timer_.pending()) timer_.Set(kLookEvery);
   }
   void Resume() {
     timer_.Stop();
@@ -33,7 +33,7 @@
  private:
   static constexpr std::chrono::milliseconds kLookEvery{20};
   void Look() {
-    if (!Ended(bufferevent_getfd(socket_))) return timer_.Set(kLookEvery);
+    if (!PeerClosed(bufferevent_getfd(socket_))) return timer_.Set(kLookEvery);
     auto ended = ended_;  // which may destroy this
     ended();
   }
--- a/src/links/worker.cpp
+++ b/src/links/worker.cpp
@@ -26,7 +26,7 @@
 std::pair<sockaddr_in, socklen_t> Parse(const std::string& address) {
   sockaddr_storage to{};
   int size = 0;
-  net::ReadAddress(address, to, size);
+  net::ParseAddress(address, to, size);
   return {reinterpret_cast<sockaddr_in&>(to), static_cast<socklen_t>(size)};
 }
 
@@ -74,7 +74,7 @@
   auto [at, size] = Parse(shown);
   door->datagrams = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (bind(door->datagrams, reinterpret_cast<sockaddr*>(&at), size) == 0) {
-    shown = HostOf(shown) + ":" + std::to_string(net::PortOf(door->datagrams));
+    shown = HostOf(shown) + ":" + std::to_string(net::BoundPort(door->datagrams));
     door->listener = net::ListenOn(shown, 128, false);
   }
   if (door->listener < 0)
--- a/src/member/member_connections.cpp
+++ b/src/member/member_connections.cpp
@@ -14,10 +14,10 @@
 MemberConnection::MemberConnection(MemberConnections& home, Member& member,
                                    std::unique_ptr<ServerCodec> codec)
     : home_(home), member_(member), codec_(std::move(codec)), timer_(home.base_, [this] { OutOfTime(); }) {
-  ++home_.sockets_.held;
+  ++home_.sockets_.in_use;
 }
 
-MemberConnection::~MemberConnection() { --home_.sockets_.held; }
+MemberConnection::~MemberConnection() { --home_.sockets_.in_use; }
 
 bool MemberConnection::Dial(const sockaddr_storage& address, int size, Duration timeout) {
   socket_.reset(bufferevent_socket_new(home_.base_, -1, BEV_OPT_CLOSE_ON_FREE));
@@ -66,7 +66,7 @@
   ++home_.counters_.dispatches;
 }
 
-Unread MemberConnection::unread() const { return PeekUnread(bufferevent_getfd(socket_.get())); }
+SocketInput MemberConnection::unread() const { return PeekInput(bufferevent_getfd(socket_.get())); }
 
 bool MemberConnection::written() const {
   return begun_ && evbuffer_get_length(bufferevent_get_output(socket_.get())) == 0;
@@ -175,8 +175,8 @@
 }
 
 MemberConnections::MemberConnections(event_base* base, const Settings& settings,
-                                     const Tuning::Backends& tuning, SocketBudget& sockets,
-                                     const Clock& clock, Log& log, Counters& counters)
+                                     const Tuning::Members& tuning, SocketBudget& sockets, const Clock& clock,
+                                     Log& log, Counters& counters)
     : base_(base),
       settings_(settings),
       tuning_(tuning),
@@ -275,13 +275,13 @@
   for (std::size_t i = member.idle.size(); i-- > 0;) {
     MemberConnection* connection = member.idle[i];
     if (connection->idle_since_ > rested) continue;
-    Unread unread = connection->unread();
-    if (unread == Unread::kNothing) {
+    SocketInput unread = connection->unread();
+    if (unread == SocketInput::kNothing) {
       member.idle.erase(member.idle.begin() + static_cast<std::ptrdiff_t>(i));
       return connection;
     }
     ++counters_.closed_as_stray;
-    if (unread == Unread::kBytes) connection->NoteUnsolicitedBytes();
+    if (unread == SocketInput::kBytes) connection->NoteUnsolicitedBytes();
     Close(*connection);
   }
   return nullptr;
@@ -326,7 +326,7 @@
 
 // A place for one more socket, made by closing the connection that has stood idle longest if need be.
 bool MemberConnections::MakeRoom() {
-  if (sockets_.held < sockets_.most) return true;
+  if (sockets_.in_use < sockets_.max) return true;
   MemberConnection* oldest = nullptr;
   for (auto& [name, member] : members_) {
     if (member.idle.empty()) continue;
--- a/src/member/member_connections.h
+++ b/src/member/member_connections.h
@@ -13,8 +13,8 @@
 #include "base/counters.h"
 #include "base/event_handles.h"
 #include "base/log.h"
-#include "base/other_end.h"
 #include "base/socket_budget.h"
+#include "base/socket_peek.h"
 #include "base/tuning.h"
 #include "discovery/server_list.h"
 #include "member/attempt.h"
@@ -48,7 +48,7 @@
   // The flow no longer waits: what comes for it must not be taken for another's answer, so this closes.
   void Abandon();
   // What has come on it since the last answer.
-  Unread unread() const;
+  SocketInput unread() const;
   // After a piece that was the last for a while.
   void Resume();
   // Whether the request's last byte was handed to the socket. Queued here is not written.
@@ -107,7 +107,7 @@
 
 class MemberConnections {
  public:
-  MemberConnections(event_base* base, const Settings& settings, const Tuning::Backends& tuning,
+  MemberConnections(event_base* base, const Settings& settings, const Tuning::Members& tuning,
                     SocketBudget& sockets, const Clock& clock, Log& log, Counters& counters);
 
   void Learn(Scope scope, const std::vector<ServerListEntry>& entries);
@@ -130,7 +130,7 @@
 
   event_base* base_;
   const Settings& settings_;
-  const Tuning::Backends& tuning_;
+  const Tuning::Members& tuning_;
   SocketBudget& sockets_;
   const Clock& clock_;
   Log& log_;
--- a/src/module/settings.cpp
+++ b/src/module/settings.cpp
@@ -40,7 +40,7 @@
 // The item that `rest` ("3.name") indexes; leaves the item's field in `rest`. Null for "count".
 template <typename T>
 T* Item(std::vector<T>& items, std::string_view path, std::string_view& rest, std::string_view value) {
-  std::string_view index = Cut(rest, '.');
+  std::string_view index = NextField(rest, '.');
   std::size_t number = Setting<std::size_t>(path, index == "count" ? value : index);
   if (number >= kMaxItems) throw std::invalid_argument(std::string(path) + ": too many");
   if (index == "count") {
@@ -81,7 +81,7 @@
 
 std::vector<std::string> Names(std::string_view text) {
   std::vector<std::string> names;
-  while (!text.empty()) names.emplace_back(Cut(text, ','));
+  while (!text.empty()) names.emplace_back(NextField(text, ','));
   return names;
 }
 
@@ -136,7 +136,7 @@
 LoadReport ParseLoadReport(std::string_view text) {
   LoadReport load;
   while (!text.empty()) {
-    std::string_view part = Cut(text, ',');
+    std::string_view part = NextField(text, ',');
     std::string_view name = part.substr(0, part.find_first_of(":="));
     double number = 0;
     if (name.size() == part.size() || !ParseNumber(part.substr(name.size() + 1), number)) continue;
--- a/src/overload/sign.cpp
+++ b/src/overload/sign.cpp
@@ -8,7 +8,7 @@
 namespace peatbend::overload {
 namespace {
 
-using net::kAny;
+using net::kUnbounded;
 using nlohmann::json;
 
 constexpr int kDeepest = 4;                      // sign, tenants or trials, one
@@ -48,7 +48,9 @@
   if (!array.is_array() || array.size() != 12) return false;
   net::FieldReader fields(array);
   std::string bins;
-  fields.Number(sign.process, kAny).Number(sign.window, kAny >> 1).Number(sign.span_ms, kMostSpan);
+  fields.Number(sign.process, kUnbounded)
+      .Number(sign.window, kUnbounded >> 1)
+      .Number(sign.span_ms, kMostSpan);
   fields.Blob(bins, kMarks + 2 * kBins)
       .Number(sign.shift, 32)
       .Number(sign.served, kMostWork)
@@ -56,7 +58,7 @@
   fields.Number(sign.full, kMostWork).Number(sign.delay_us, 0xffffffffu).Number(sign.headroom, 0xffff);
   const json* tenants = fields.Next();
   const json* trials = fields.Next();
-  if (!fields.fine() || bins.size() < kMarks || sign.window == 0 || sign.span_ms == 0) return false;
+  if (!fields.ok() || bins.size() < kMarks || sign.window == 0 || sign.span_ms == 0) return false;
   if (!tenants->is_array() || tenants->size() > kMostTenants) return false;
   if (!trials->is_array() || trials->size() > kMostTrials) return false;
   auto byte = [&](std::size_t at) { return static_cast<unsigned>(static_cast<unsigned char>(bins[at])); };
@@ -70,14 +72,14 @@
   if (next != bins.size()) return false;
   for (const json& one : *tenants) {
     TenantWork& tenant = sign.tenants.emplace_back();
-    if (!net::FieldReader(one).Number(tenant.tenant, 0xffff).Number(tenant.work, 0xffffffffu).fine())
+    if (!net::FieldReader(one).Number(tenant.tenant, 0xffff).Number(tenant.work, 0xffffffffu).ok())
       return false;
   }
   for (const json& one : *trials) {
     TrialNews& news = sign.trials.emplace_back();
     net::FieldReader of(one);
     of.Number(news.member, 0xffffffffu).Number(news.epoch, 0xffffffffu);
-    if (!of.Number(news.step, static_cast<std::uint64_t>(TrialStep::kPassed)).fine()) return false;
+    if (!of.Number(news.step, static_cast<std::uint64_t>(TrialStep::kPassed)).ok()) return false;
   }
   return true;
 }
--- a/src/peers/message.cpp
+++ b/src/peers/message.cpp
@@ -8,7 +8,7 @@
 namespace peatbend::peers {
 namespace {
 
-using net::kAny;
+using net::kUnbounded;
 using net::MsgpackReader;
 using net::MsgpackWriter;
 
@@ -25,12 +25,15 @@
 bool Read(MsgpackReader& from, Record& r) {
   std::size_t fields = 0;
   from.Array(fields, kRecordFields, kMostFields);
-  from.Text(r.name, kMostName).Number(r.life, kAny).Number(r.birth, kAny).Number(r.claim, 0xffffffffu);
+  from.Text(r.name, kMostName)
+      .Number(r.life, kUnbounded)
+      .Number(r.birth, kUnbounded)
+      .Number(r.claim, 0xffffffffu);
   from.Number(r.state, static_cast<std::uint64_t>(State::kLeft)).Text(r.by, kMostName);
   from.Text(r.address, kMostName).Text(r.zone, kMostName).Text(r.version, kMostName);
   from.Text(r.serves, kMostName).Blob(r.note, kMostNote);
-  if (from.fine()) from.Skip(fields - kRecordFields, 0);
-  return from.fine() && !r.name.empty() && !r.address.empty();
+  if (from.ok()) from.Skip(fields - kRecordFields, 0);
+  return from.ok() && !r.name.empty() && !r.address.empty();
 }
 
 }  // namespace
@@ -62,7 +65,7 @@
   unsigned version = 0, least = 0;
   std::string its_fleet;
   from.Array(fields, 3, kMostFields).Number(version, 0xffff).Number(least, 0xffff).Text(its_fleet, kMostName);
-  if (!from.fine()) return Fault::kMalformed;
+  if (!from.ok()) return Fault::kMalformed;
   if (its_fleet != fleet) return Fault::kFleet;
   if (least > static_cast<unsigned>(kVersion)) return Fault::kVersion;
   m = {};
@@ -70,18 +73,21 @@
   from.Number(m.kind, static_cast<std::uint64_t>(Kind::kCargo))
       .Text(m.from, kMostName)
       .Text(m.reply, kMostName);
-  from.Number(m.life, kAny).Number(m.birth, kAny).Number(m.number, kAny).Number(m.probe, kAny);
-  from.Number(m.digest, kAny).Flag(m.member).Number(m.you, static_cast<std::uint64_t>(You::kGone));
-  from.Text(m.target, kMostName).Text(m.target_address, kMostName).Number(m.target_life, kAny);
+  from.Number(m.life, kUnbounded)
+      .Number(m.birth, kUnbounded)
+      .Number(m.number, kUnbounded)
+      .Number(m.probe, kUnbounded);
+  from.Number(m.digest, kUnbounded).Flag(m.member).Number(m.you, static_cast<std::uint64_t>(You::kGone));
+  from.Text(m.target, kMostName).Text(m.target_address, kMostName).Number(m.target_life, kUnbounded);
   from.Array(records, 0, std::min(kMostRecords, bytes.size() / kLeastRecord));
   std::size_t known = kFields + (m.kind == Kind::kCargo ? 1 : 0);
-  if (!from.fine() || fields < known || m.from.empty() || m.reply.empty()) return Fault::kMalformed;
+  if (!from.ok() || fields < known || m.from.empty() || m.reply.empty()) return Fault::kMalformed;
   m.records.reserve(records);
   for (; records > 0; --records) {
     if (!Read(from, m.records.emplace_back())) return Fault::kMalformed;
   }
   if (m.kind == Kind::kCargo) from.Blob(m.cargo, kMostCargo);
-  return from.fine() && from.Skip(fields - known, kDeepest - 1).done() ? Fault::kNone : Fault::kMalformed;
+  return from.ok() && from.Skip(fields - known, kDeepest - 1).at_end() ? Fault::kNone : Fault::kMalformed;
 }
 
 }  // namespace peatbend::peers
--- a/src/peers/peer_sockets.cpp
+++ b/src/peers/peer_sockets.cpp
@@ -40,9 +40,9 @@
     : base_(base), address_(address), fleet_(std::move(fleet)), calls_(std::move(calls)) {
   // The datagram socket keeps a second process out: streams may still be in their last states from a former
   // one.
-  datagrams_ = net::BindTo(address, SOCK_DGRAM, false);
+  datagrams_ = net::BindSocket(address, SOCK_DGRAM, false);
   if (datagrams_ >= 0) {
-    address_ = WithPort(address, net::PortOf(datagrams_));
+    address_ = WithPort(address, net::BoundPort(datagrams_));
     listener_ = net::ListenOn(address_, 64, false);
   }
   if (listener_ < 0) {
@@ -65,7 +65,7 @@
   close(listener_);
 }
 
-int PeerSockets::port() const { return net::PortOf(datagrams_); }
+int PeerSockets::port() const { return net::BoundPort(datagrams_); }
 
 void PeerSockets::ReadDatagrams() {
   std::array<char, kMostDatagram + 1> bytes;
@@ -92,7 +92,7 @@
   Address address;
   int size = 0;
   try {
-    net::ReadAddress(text, address.at, size);
+    net::ParseAddress(text, address.at, size);
   } catch (const std::invalid_argument&) {  // a peer's word on its address
     return nullptr;
   }
@@ -128,7 +128,7 @@
   // From the own address, so that what lies between two routers can tell them.
   sockaddr_storage own{};
   int own_size = 0;
-  net::ReadAddress(WithPort(address_, 0), own, own_size);
+  net::ParseAddress(WithPort(address_, 0), own, own_size);
   if (own.ss_family == to->sa_family)
     bind(made, reinterpret_cast<sockaddr*>(&own), static_cast<socklen_t>(own_size));
   Stream& stream = out_.emplace_back();
--- a/src/rations/wire.cpp
+++ b/src/rations/wire.cpp
@@ -7,7 +7,7 @@
 namespace peatbend::rations {
 namespace {
 
-using net::kAny;
+using net::kUnbounded;
 using net::MsgpackReader;
 using net::MsgpackWriter;
 
@@ -43,21 +43,21 @@
 bool Read(MsgpackReader& from, Go& go) {
   std::size_t fields = 0;
   return from.Array(fields, 4, 4)
-      .Number(go.round, kAny)
+      .Number(go.round, kUnbounded)
       .Text(go.router, kMostName)
-      .Number(go.nonce, kAny)
-      .Number(go.number, kAny)
-      .fine();
+      .Number(go.nonce, kUnbounded)
+      .Number(go.number, kUnbounded)
+      .ok();
 }
 
 bool Read(MsgpackReader& from, Entry& entry) {
   std::size_t fields = 0;
   from.Array(fields, 4, 2 + 2 * kDeepest).Number(entry.want, kMostTokens).Number(entry.wait_ms, kMostWait);
-  if (!from.fine() || fields % 2 != 0) return false;
+  if (!from.ok() || fields % 2 != 0) return false;
   entry.chain.size = static_cast<std::uint8_t>(fields / 2 - 1);
   for (std::size_t i = 0; i < entry.chain.size; ++i)
-    from.Number(entry.chain.buckets[i].ration, 0xffffffffu).Number(entry.chain.buckets[i].of, kAny);
-  return from.fine();
+    from.Number(entry.chain.buckets[i].ration, 0xffffffffu).Number(entry.chain.buckets[i].of, kUnbounded);
+  return from.ok();
 }
 
 bool Read(MsgpackReader& from, Message& m, std::size_t bytes) {
@@ -65,14 +65,17 @@
   from.Array(fields, kFields, kFields)
       .Number(m.kind, static_cast<std::uint64_t>(MessageKind::kElsewhere))
       .Number(m.shard, kShards - 1);
-  if (!from.fine() || !Read(from, m.go) || !Read(from, m.met)) return false;
-  from.Number(m.life, kAny).Number(m.number, kAny).Number(m.drawer, kAny).Number(m.print, kAny);
+  if (!from.ok() || !Read(from, m.go) || !Read(from, m.met)) return false;
+  from.Number(m.life, kUnbounded)
+      .Number(m.number, kUnbounded)
+      .Number(m.drawer, kUnbounded)
+      .Number(m.print, kUnbounded);
   from.Array(entries, 0, std::min(kMostEntries, bytes / kLeastEntry));
   m.entries.reserve(entries);
-  for (; from.fine() && entries > 0; --entries) {
+  for (; from.ok() && entries > 0; --entries) {
     if (!Read(from, m.entries.emplace_back())) return false;
   }
-  return from.fine();
+  return from.ok();
 }
 
 }  // namespace
@@ -110,14 +113,14 @@
   std::size_t fields = 0, many = 0;
   unsigned form = 0;
   std::uint64_t its_seats = 0;
-  from.Array(fields, 3, 3).Number(form, kAny).Number(its_seats, kAny);
-  if (!from.fine() || form != kForm) return DecodeError::kMalformed;
+  from.Array(fields, 3, 3).Number(form, kUnbounded).Number(its_seats, kUnbounded);
+  if (!from.ok() || form != kForm) return DecodeError::kMalformed;
   from.Array(many, 0, kMostTogether);
-  if (from.fine() && its_seats != seats) return DecodeError::kReplicaSet;
-  for (; from.fine() && many > 0; --many) {
+  if (from.ok() && its_seats != seats) return DecodeError::kReplicaSet;
+  for (; from.ok() && many > 0; --many) {
     if (!Read(from, messages.emplace_back(), bytes.size())) break;
   }
-  if (many == 0 && from.done()) return DecodeError::kNone;
+  if (many == 0 && from.at_end()) return DecodeError::kNone;
   messages.clear();
   return DecodeError::kMalformed;
 }
--- a/src/router/figures.cpp
+++ b/src/router/figures.cpp
@@ -27,7 +27,7 @@
     fmt::format_to(std::back_inserter(text), "edge_balancer.{}={}\n", name, value);
   };
   for (std::size_t i = 0; i < counters_.classes.size(); ++i) {
-    const Counters::OfClass& counts = counters_.classes[i];
+    const Counters::PerClass& counts = counters_.classes[i];
     std::string prefix = "replies." + running_.settings.classes[i].name;
     add(prefix + ".success", counts.served);
     add(prefix + ".overload", counts.rejected);
--- a/src/router/overload_office.cpp
+++ b/src/router/overload_office.cpp
@@ -38,7 +38,8 @@
       decision_(decision),
       log_(log),
       order_(config.settings),
-      cut_({.level = {.bands = order_.bands()}}, Nonce(), SharesOf(config.settings), peers::Peers::Now()),
+      cut_({.level = {.bands = order_.bands()}}, GenerateNonce(), SharesOf(config.settings),
+           peers::Peers::Now()),
       trials_(config.name, {}),
       returns_(config.name, {.per_second = static_cast<double>(config.tuning.overload.dials_per_second)}),
       tick_(base, [this] { Tick(); }) {
--- a/src/router/publication_office.cpp
+++ b/src/router/publication_office.cpp
@@ -23,7 +23,7 @@
       folder_(config.publications.folder),
       found_(config.publications.found),
       seats_(failover::ReplicaSet::Parse(config.publications.seats)),
-      bureau_({}, seats_, self_, peers.life(), Nonce(), peers::Peers::Now(),
+      bureau_({}, seats_, self_, peers.life(), GenerateNonce(), peers::Peers::Now(),
               [this] { return peers_ != nullptr ? peers_->Others() : std::vector<std::string>(); }),
       tick_(base, [this] { Tick(); }) {
   peers_->OnCargo(peers::Peers::Lane::kPublications,
@@ -80,20 +80,20 @@
 void PublicationOffice::Bring(std::string label, compat::Change::Command command,
                               std::function<void(const compat::Answer&)> then) {
   bureau_.Bring(peers::Peers::Now(), std::move(label), std::move(command), std::move(then));
-  if (!flushing_ && peers_ != nullptr) tick_.SetNow();
+  if (!flushing_ && peers_ != nullptr) tick_.Activate();
 }
 
 void PublicationOffice::Found(bool found) {
   if (peers_ == nullptr) return;
   if (found && !found_) bureau_.Found(peers::Peers::Now());
   found_ = found;
-  tick_.SetNow();
+  tick_.Activate();
 }
 
 void PublicationOffice::Propose(const Config& config) {
   if (peers_ == nullptr || !librarian_) return;
   librarian_->Propose({config.rations.text, config.rations.table});
-  tick_.SetNow();
+  tick_.Activate();
 }
 
 // ---- Books ------------------------------------------------------------------------------------------------
@@ -118,8 +118,8 @@
   calls.send = [this](const std::string& to, const compat::Say& say) { Carry(to, say); };
   calls.others = [this] { return peers_ != nullptr ? peers_->Others() : std::vector<std::string>(); };
   librarian_.emplace(self_, reads_, compat::Librarian::Book{config.rations.text, config.rations.table},
-                     Nonce(), *this, std::move(calls));
-  tick_.SetNow();
+                     GenerateNonce(), *this, std::move(calls));
+  tick_.Activate();
 }
 
 // ---- Messages and time ------------------------------------------------------------------------------------
--- a/src/router/ration_office.cpp
+++ b/src/router/ration_office.cpp
@@ -84,7 +84,7 @@
       log_(log),
       seats_(SeatsOf(config)),
       print_(PrintOf(config, seats_)),
-      office_(OptionsOf(config), seats_, config.name, Nonce(), Nonce(), config.rations.table,
+      office_(OptionsOf(config), seats_, config.name, GenerateNonce(), GenerateNonce(), config.rations.table,
               peers::Peers::Now(),
               [this](const std::string& router) { return peers_ != nullptr && peers_->Present(router); }),
       tick_(base, [this] { Tick(); }) {
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -45,7 +45,7 @@
 
 int Listening(const Config& config, std::optional<handover::Inheritance>& inherited, Log& log) {
   if (inherited) return inherited->listener.Release();
-  bool taken = Taken(config.listen);
+  bool taken = AddressInUse(config.listen);
   int socket = ListenOn(config.listen, static_cast<int>(config.tuning.clients.backlog), true);
   if (socket < 0) throw std::runtime_error("cannot listen on " + config.listen + ": " + std::strerror(errno));
   if (taken) log.Line("handover", "shares " + config.listen + " with a process that hands nothing on");
@@ -215,31 +215,31 @@
 
 // What this process and those before it may hold at most.
 handover::Successor::Keeps Router::Keeps() const {
-  return {Others(running_) + static_cast<std::int64_t>(sockets_.most) + predecessor_keeps_,
-          static_cast<std::int64_t>(memory_.most) + predecessor_memory_};
+  return {Others(running_) + static_cast<std::int64_t>(sockets_.max) + predecessor_keeps_,
+          static_cast<std::int64_t>(memory_.max) + predecessor_memory_};
 }
 
 std::int64_t Router::descriptors() const {
-  return Others(running_) + static_cast<std::int64_t>(std::max(sockets_.most, sockets_.held));
+  return Others(running_) + static_cast<std::int64_t>(std::max(sockets_.max, sockets_.in_use));
 }
 
 void Router::Share() {
-  sockets_.limit = static_cast<std::size_t>(running_.sockets);
+  sockets_.configured_max = static_cast<std::size_t>(running_.sockets);
   std::int64_t most = running_.sockets - Others(running_) - predecessor_keeps_;
   if (!door_.empty()) most -= kSuccessorDescriptors;
   bool over = life_.rest() == Doors::Rest::kGoesToSuccessor;  // then it only falls
-  if (over) most = std::min({most, static_cast<std::int64_t>(sockets_.most), SocketsWhileHandingOver()});
-  sockets_.most = static_cast<std::size_t>(std::max<std::int64_t>(most, 0));
+  if (over) most = std::min({most, static_cast<std::int64_t>(sockets_.max), SocketsWhileHandingOver()});
+  sockets_.max = static_cast<std::size_t>(std::max<std::int64_t>(most, 0));
   auto values = static_cast<std::int64_t>(static_cast<double>(running_.memory_mb) * kMegabyte * kValuesShare);
   values -= predecessor_memory_;
-  if (over) values = std::min(values, static_cast<std::int64_t>(memory_.held));
-  memory_.most = static_cast<std::size_t>(std::max<std::int64_t>(values, 0));
+  if (over) values = std::min(values, static_cast<std::int64_t>(memory_.in_use));
+  memory_.max = static_cast<std::size_t>(std::max<std::int64_t>(values, 0));
 }
 
 // A request needs one socket at a time: the connection of an attempt that has ended is closed, or stands idle
 // and is closed where the next attempt needs its place.
 std::int64_t Router::SocketsWhileHandingOver() const {
-  std::int64_t needed = static_cast<std::int64_t>(sockets_.held) + kForFlows;
+  std::int64_t needed = static_cast<std::int64_t>(sockets_.in_use) + kForFlows;
   std::int64_t of_both = 2 * Others(running_) + kSuccessorDescriptors + predecessor_keeps_;
   std::int64_t free = std::max<std::int64_t>(running_.sockets - of_both - needed, 0);
   auto waiting = static_cast<std::int64_t>(decision_.waiting_for_server());
@@ -248,10 +248,10 @@
 
 void Router::TellKeeps() {
   if (life_.rest() != Doors::Rest::kGoesToSuccessor) return;
-  auto before = std::pair(sockets_.most, memory_.most);
-  sockets_.most = std::min(sockets_.most, static_cast<std::size_t>(SocketsWhileHandingOver()));
-  memory_.most = std::min(memory_.most, memory_.held);
-  if (std::pair(sockets_.most, memory_.most) != before) successor_.TellKeeps(Keeps());
+  auto before = std::pair(sockets_.max, memory_.max);
+  sockets_.max = std::min(sockets_.max, static_cast<std::size_t>(SocketsWhileHandingOver()));
+  memory_.max = std::min(memory_.max, memory_.in_use);
+  if (std::pair(sockets_.max, memory_.max) != before) successor_.TellKeeps(Keeps());
   // Free by the time that the successor is told next.
   if (decision_.waiting_for_server() == 0) connections_.CloseAllIdle();
   tell_keeps_.Set(kTellKeepsEvery);
@@ -260,7 +260,7 @@
 void Router::PredecessorKeeps(std::int64_t keeps, std::int64_t memory) {
   // While it hands over what it may hold falls, but for what passes to it from the process before.
   std::int64_t passed = std::max<std::int64_t>(predecessor_keeps_ - keeps, 0);
-  sockets_.most += static_cast<std::size_t>(passed);
+  sockets_.max += static_cast<std::size_t>(passed);
   predecessor_keeps_ = keeps;
   predecessor_memory_ = memory;
   Share();
@@ -332,7 +332,7 @@
     client.begun_ago = std::chrono::duration_cast<Milliseconds>(clock_.Now() - session.begun());
   }
   client.socket = handover::FileHandle(session.Release(client.begun));
-  if (sockets_.most > 0) --sockets_.most;  // its descriptor is the other's from now on
+  if (sockets_.max > 0) --sockets_.max;  // its descriptor is the other's from now on
   successor_.Send(std::move(client), Keeps());
   return true;
 }
--- a/src/router/schema_office.cpp
+++ b/src/router/schema_office.cpp
@@ -76,7 +76,7 @@
       again_(base, [this] { Bring(); }) {
   for (std::size_t place = 0; place < proposals_.size(); ++place)
     proposals_[place].waits = Proposes(covers_.all()[place]);
-  again_.SetNow();
+  again_.Activate();
 }
 
 void SchemaOffice::Hush() {
@@ -190,7 +190,7 @@
   } else {
     log_.Line("schemas refused", proposal.refused);
   }
-  again_.SetNow();
+  again_.Activate();
 }
 
 // ---- Figures ------------------------------------------------------------------------------------------
--- a/src/stage/decision.cpp
+++ b/src/stage/decision.cpp
@@ -116,7 +116,7 @@
 // The module is called from the loop alone, never from within one of its own actions.
 void Decision::Post(Pending event) {
   pending_.push_back(std::move(event));
-  if (pending_.size() == 1) drain_.SetNow();
+  if (pending_.size() == 1) drain_.Activate();
 }
 
 void Decision::Drain() {
--- a/src/stage/transaction.cpp
+++ b/src/stage/transaction.cpp
@@ -5,13 +5,13 @@
 
 namespace peatbend::net {
 
-Counters::OfClass& Transaction::OfClass() {
+Counters::PerClass& Transaction::PerClass() {
   return counters_.classes[static_cast<std::size_t>(request_->cls)];
 }
 
 void Transaction::Serve(evbuffer* value) {
   if (AnswerSink* client = Answer()) {
-    ++OfClass().served;
+    ++PerClass().served;
     fate_ = Fate::kServed;
     client->Served(place_, value);
   }
@@ -19,7 +19,7 @@
 
 void Transaction::Reject(Duration come_back) {
   if (AnswerSink* client = Answer()) {
-    ++OfClass().rejected;
+    ++PerClass().rejected;
     fate_ = Fate::kRejected;
     client->Rejected(place_, come_back);
   }
@@ -27,7 +27,7 @@
 
 void Transaction::Fail() {
   if (AnswerSink* client = Answer()) {
-    ++OfClass().failed;
+    ++PerClass().failed;
     client->Failed(place_);
   }
 }
@@ -44,7 +44,7 @@
 void Transaction::EndValue(bool whole) {
   AnswerSink* client = std::exchange(client_, nullptr);
   if (client == nullptr) return;
-  whole ? ++OfClass().served : ++OfClass().failed;
+  whole ? ++PerClass().served : ++PerClass().failed;
   fate_ = whole ? Fate::kServed : Fate::kLost;
   client->Ends(place_, whole);
 }
--- a/src/stage/transaction.h
+++ b/src/stage/transaction.h
@@ -68,7 +68,7 @@
   TimePoint held_begin_by = TimePoint::max();
 
  private:
-  Counters::OfClass& OfClass();
+  Counters::PerClass& PerClass();
   // Whom to tell the one answer; null if it was told, or a value is being passed on.
   AnswerSink* Answer();
   RequestId id_;
--- a/src/standin/http_server.h
+++ b/src/standin/http_server.h
@@ -13,7 +13,7 @@
 
 namespace peatbend::standin {
 
-using EvhttpPtr = std::unique_ptr<evhttp, net::FreeBy<evhttp_free>>;
+using EvhttpPtr = std::unique_ptr<evhttp, net::HandleDeleter<evhttp_free>>;
 
 // One request that waits. Ends itself (and frees the request) once answered or left.
 class Waiting : public std::enable_shared_from_this<Waiting> {
--- a/tests/net/broken_answers_test.cpp
+++ b/tests/net/broken_answers_test.cpp
@@ -255,7 +255,7 @@
     }
     flows.Start(kFlowWaits, kLimit);
   });
-  turn.SetNow();
+  turn.Activate();
   flows.UntilItsOutcome();
   CHECK(flows.outcome == Result::kLate);
   CHECK(flows.elapsed >= kLimit);
--- a/tests/net/flows_stage.h
+++ b/tests/net/flows_stage.h
@@ -29,7 +29,7 @@
     ServerListEntry entry;
     entry.entry.id.name = "box-1";
     entry.address = "127.0.0.1:" + std::to_string(port);
-    ReadAddress(entry.address, entry.to, entry.to_size);
+    ParseAddress(entry.address, entry.to, entry.to_size);
     connections_.Learn(Scope::kFull, {entry});
   }
   void FlowEnded(ServerSideFlow& flow, FlowReply reply) override {
@@ -57,7 +57,7 @@
 
  private:
   Settings settings_;
-  Tuning::Backends tuning_;
+  Tuning::Members tuning_;
   SocketBudget sockets_;
   Clock clock_;
   Log log_{"test", {}, clock_};
--- a/tests/net/handover_test.cpp
+++ b/tests/net/handover_test.cpp
@@ -138,7 +138,7 @@
   RawClient slow(stage.router.port());
   REQUIRE(slow.Send(FloodOf(values)));
   End& idle = stage.Client(kPing);
-  stage.Until([&] { return idle.got == kPong && stage.router.memory().held > 0; });
+  stage.Until([&] { return idle.got == kPong && stage.router.memory().in_use > 0; });
   NextRouter next(stage, folder.Door());
   stage.Until([&] { return next.router.counters().clients_accepted == 1; });  // the idle one
   CHECK(stage.router.life().state() == LifeCycle::State::kHandingOver);
@@ -167,7 +167,7 @@
       "", 1024, 192, folder.Door());
   End& writer = stage.Client(whole.substr(0, half));
   End& idle = stage.Client(kPing);
-  stage.Until([&] { return idle.got == kPong && stage.router.memory().held >= value.size(); });  // booked
+  stage.Until([&] { return idle.got == kPong && stage.router.memory().in_use >= value.size(); });  // booked
   NextRouter next(stage, folder.Door());
   stage.Until([&] { return next.router.counters().clients_accepted == 1; });  // the idle one
   writer.Say(whole.substr(half));
--- a/tests/net/handover_waiting_test.cpp
+++ b/tests/net/handover_waiting_test.cpp
@@ -109,7 +109,7 @@
   void CheckAllServed() const {
     CHECK(Count(&Client::served) == clients.size());
     CHECK(Count(&Client::rejected) == 0);
-    CHECK(stage.router.counters().Sum(&Counters::OfClass::rejected) == 0);
+    CHECK(stage.router.counters().Sum(&Counters::PerClass::rejected) == 0);
     CHECK(stage.router.counters().not_sent_no_socket == 0);
     CHECK(most_descriptors <= limit);
   }
@@ -133,7 +133,7 @@
   upgrade.Start();
   upgrade.AnswerAllInRounds();
   upgrade.CheckAllServed();
-  CHECK(upgrade.stage.router.counters().Sum(&Counters::OfClass::served) == kRequests);
+  CHECK(upgrade.stage.router.counters().Sum(&Counters::PerClass::served) == kRequests);
 }
 
 TEST_CASE("handover: requests that wait for another's fetch when the successor is ready are all served") {
@@ -171,9 +171,9 @@
   for (std::size_t i = 0; i < kFresh; ++i) {  // the new process's requests came last
     upgrade.Until([&] { return upgrade.server.received() == upgrade.SentToServer(); });
     upgrade.server.ServeLast();
-    upgrade.Until([&] { return next.counters().Sum(&Counters::OfClass::served) == i + 1; });
+    upgrade.Until([&] { return next.counters().Sum(&Counters::PerClass::served) == i + 1; });
   }
-  CHECK(upgrade.stage.router.counters().Sum(&Counters::OfClass::served) == 0);
+  CHECK(upgrade.stage.router.counters().Sum(&Counters::PerClass::served) == 0);
   CHECK(next.counters().not_sent_no_socket == 0);
   upgrade.AnswerAllInRounds();
   upgrade.CheckAllServed();
--- a/tests/net/held_attempt_test.cpp
+++ b/tests/net/held_attempt_test.cpp
@@ -18,7 +18,7 @@
     entry.entry.id.name = "origin";
     entry.entry.kind = settings.origin_kind;
     entry.address = "127.0.0.1:" + std::to_string(stage.origin.port);
-    ReadAddress(entry.address, entry.to, entry.to_size);
+    ParseAddress(entry.address, entry.to, entry.to_size);
     decision.ServerListChanged(Scope::kFull, {entry});
     decision.Keep(this);
   }
@@ -54,7 +54,7 @@
   Counters counters;
   Clock clock;
   Log log{"test", {}, clock};
-  Tuning::Backends tuning;
+  Tuning::Members tuning;
   SocketBudget sockets;
   MemberConnections connections{stage.base.get(), settings, tuning, sockets, clock, log, counters};
   Decision decision{stage.base.get(), settings, 7, connections, [] {}, clock, log, counters};
--- a/tests/net/large_value_test.cpp
+++ b/tests/net/large_value_test.cpp
@@ -57,7 +57,7 @@
   origin.Say(value.substr(70000));
   stage.Until([&] { return second.got.size() == opens.size() + kMost + 2; });
   CHECK(second.got == Bulk(value));
-  CHECK(stage.router.counters().Sum(&Counters::OfClass::served) == 2);
+  CHECK(stage.router.counters().Sum(&Counters::PerClass::served) == 2);
   CHECK(stage.member.ends.size() == 1);
 }
 
@@ -71,7 +71,7 @@
   CHECK(stage.Ask(Set(kKey, "c=keyed,d=1900,k=1", value)) == "$2\r\nok\r\n");
   CHECK(stage.origin.ends.size() == 2);
   CHECK(stage.origin.ends.back().got.find("Content-Length: " + std::to_string(kMost)) != std::string::npos);
-  CHECK(stage.router.memory().held == 0);
+  CHECK(stage.router.memory().in_use == 0);
 }
 
 TEST_CASE("more large values from clients than there is memory for: each has its turn") {
@@ -86,7 +86,7 @@
   for (int i = 0; i < 5; ++i)
     clients.push_back(&stage.Client(Set("000000000000000" + std::to_string(i), "c=keyed,d=1900,k=1", value)));
   stage.Until([&] {
-    CHECK(stage.router.memory().held <= stage.router.memory().most);
+    CHECK(stage.router.memory().in_use <= stage.router.memory().max);
     return std::ranges::all_of(clients, [](End* client) { return client->got == "$2\r\nok\r\n"; });
   });
 }
@@ -104,7 +104,7 @@
     }
   };
   answer("\r\n2000\r\n");
-  stage.Until([&] { return stage.router.memory().held >= 256 * 1024; });  // it waits for the first
+  stage.Until([&] { return stage.router.memory().in_use >= 256 * 1024; });  // it waits for the first
   answer("\r\n1000\r\n");
   stage.Until([&] { return client.got.size() >= 2 * Bulk(value).size(); });
   bool same = client.got == Bulk(value) + Bulk(value);
@@ -126,7 +126,7 @@
   CHECK(client.got.size() <= opens.size() + 100000);  // its end never came
   CHECK(stage.router.counters().attempts == 1);
   CHECK(stage.router.counters().values_cut == 1);
-  CHECK(stage.router.counters().Sum(&Counters::OfClass::failed) == 1);
+  CHECK(stage.router.counters().Sum(&Counters::PerClass::failed) == 1);
 }
 
 TEST_CASE("a client that stops reading holds little, and leaving it frees the member") {
@@ -136,14 +136,14 @@
     Deaf(stage, Get("000000000000001" + std::to_string(i % 10) + (i > 9 ? "x" : ""), "c=read,d=1900"));
   auto from = std::chrono::steady_clock::now();
   stage.Until([&] {
-    CHECK(stage.router.memory().held <= stage.router.memory().most);
+    CHECK(stage.router.memory().in_use <= stage.router.memory().max);
     return std::chrono::steady_clock::now() - from > std::chrono::milliseconds(500);
   });
   CHECK(stage.Ask("*1\r\n$4\r\nPING\r\n") == "+PONG\r\n");
   REQUIRE(stage.router.counters().attempts > 0);
   for (End& client : stage.clients) client.Hang();
-  stage.Until([&] { return stage.router.memory().held == 0; });
-  CHECK(stage.router.counters().Sum(&Counters::OfClass::served) == 0);
+  stage.Until([&] { return stage.router.memory().in_use == 0; });
+  CHECK(stage.router.counters().Sum(&Counters::PerClass::served) == 0);
 }
 
 // Within the protocol: hundreds of commands at once, whose answers nobody reads. 16 MB here.
@@ -161,15 +161,15 @@
     const Counters& counts = stage.router.counters();
     std::uint64_t before = counts.requests;
     stage.Until([&] {  // all that it was let to ask is answered
-      using Class = Counters::OfClass;
+      using Class = Counters::PerClass;
       std::uint64_t answered =
           counts.Sum(&Class::served) + counts.Sum(&Class::rejected) + counts.Sum(&Class::failed);
       return counts.requests >= before + 4 && counts.requests == answered;
     });
   }
   // Some of it is with the sockets.
-  CHECK(stage.router.counters().Sum(&Counters::OfClass::served) * value.size() < 24 * 1024 * 1024);
-  CHECK(stage.router.memory().held < 8 * 1024 * 1024);
+  CHECK(stage.router.counters().Sum(&Counters::PerClass::served) * value.size() < 24 * 1024 * 1024);
+  CHECK(stage.router.memory().in_use < 8 * 1024 * 1024);
   CHECK(stage.Ask(Get("100", "c=read,d=1900")) == Bulk(value));
 }
 
--- a/tests/net/operations_stage.h
+++ b/tests/net/operations_stage.h
@@ -8,7 +8,7 @@
 
 namespace peatbend::net::test {
 
-using Clients = Counters::OfClass;
+using Clients = Counters::PerClass;
 
 struct Folder {
   Folder() {
--- a/tests/net/rough_clients_test.cpp
+++ b/tests/net/rough_clients_test.cpp
@@ -19,7 +19,7 @@
   End& client = stage.Client(FloodOf(sent));
   stage.Until([&] { return AnswersInOrder(client.got) == sent; });
   CHECK(!client.closed);
-  CHECK(stage.router.counters().Sum(&Counters::OfClass::served) > 0);
+  CHECK(stage.router.counters().Sum(&Counters::PerClass::served) > 0);
 }
 
 TEST_CASE("rough: a client that takes its answers byte by byte gets them whole, and others don't wait") {
--- a/tests/net/rules_test.cpp
+++ b/tests/net/rules_test.cpp
@@ -221,7 +221,7 @@
   client.Hang();
   stage.Until([&] { return stage.router.counters().requests_abandoned == 1; });
   CHECK(stage.Ask(Get("2000", "c=read,d=900")) == "$1\r\nx\r\n");
-  using Of = Counters::OfClass;
+  using Of = Counters::PerClass;
   CHECK(stage.router.counters().Sum(&Of::rejected) + stage.router.counters().Sum(&Of::failed) == 0);
 }
 
@@ -298,7 +298,7 @@
   waiting->Say(Value("one"));
   stage.Until([&] { return ended; });
   CHECK(client.got == "$3\r\none\r\n");
-  CHECK(stage.router.counters().Sum(&Counters::OfClass::served) == 2);
+  CHECK(stage.router.counters().Sum(&Counters::PerClass::served) == 2);
   stage.Until([&] { return client.closed; });
 }
 
--- a/tests/net/shutdown_test.cpp
+++ b/tests/net/shutdown_test.cpp
@@ -141,7 +141,7 @@
   Stage stage(Stage::Says(Value(value)));
   RawClient client(stage.router.port(), 4096);
   client.Send(kRead);
-  stage.Until([&] { return stage.router.counters().Sum(&Counters::OfClass::served) == 1; });
+  stage.Until([&] { return stage.router.counters().Sum(&Counters::PerClass::served) == 1; });
   Stopping stopping(stage);
   stopping.RunUntil(kKeepListening + milliseconds(20));
   client.Send(Get("2000", "c=read,d=2000"));
--- a/tests/net/upgrade_test.cpp
+++ b/tests/net/upgrade_test.cpp
@@ -108,8 +108,8 @@
   Router next(stage.base.get(), stage.Configured("", 128), std::move(inherited));
   stage.Until([&] { return stage.router.life().state() == LifeCycle::State::kHandingOver; });
   CHECK(stage.router.descriptors() + next.descriptors() <= 128);
-  CHECK(stage.router.memory().most == 0);  // it holds no large value
-  stage.Until([&] { return next.memory().most > 0; });
+  CHECK(stage.router.memory().max == 0);  // it holds no large value
+  stage.Until([&] { return next.memory().max > 0; });
   for (End& end : stage.member.ends) end.Say(Value("v"));
   stage.Until([&] { return next.counters().clients_accepted >= 5; });
   CHECK(stage.router.descriptors() + next.descriptors() <= 128);
--- a/tests/net/watch_stage.h
+++ b/tests/net/watch_stage.h
@@ -59,7 +59,7 @@
       if (!end.closed) end.Say(texts[std::min(drips++, texts.size() - 1)]);
       dripping_->Set(Milliseconds(every_ms));
     });
-    dripping_->SetNow();
+    dripping_->Activate();
   }
   bool Failed() const { return news == std::vector<Scope>{Scope::kFailed}; }
   std::string Names() const {
