--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -92,7 +92,7 @@
 
 void DiscoveryWatch::Read() {
   auto status = reader_->Read(bufferevent_get_input(socket_.get()));
-  if (status == http1::ResponseReader::Status::kBad) return Failed(reader_->error());
+  if (status == http1::ResponseReader::Status::kMalformed) return Failed(reader_->error());
   if (!reader_->has_head()) return;
   if (reader_->status() != 200) return Failed("status " + std::to_string(reader_->status()));
   std::string_view text = Contents(reader_->body());
--- a/src/front/client_session.cpp
+++ b/src/front/client_session.cpp
@@ -103,22 +103,22 @@
 bool ClientSession::BeginBody(std::string_view buffer) {
   resp::Message message = parser_.message();
   message.items.push_back({});
-  message.size = parser_.head();
+  message.size = parser_.head_size();
   ClientCommand command = ReadCommand(message, buffer, settings_);
   if (command.kind != ClientCommand::Kind::kRequest) {
     bool malformed = command.kind == ClientCommand::Kind::kMalformed;
     return Malformed(malformed ? command.complaint : "a value that does not belong to the command"), false;
   }
   MemoryReservation memory(home_.memory());
-  if (!memory.Try(parser_.body())) {  // not read till others are done with theirs
+  if (!memory.Try(parser_.body_size())) {  // not read till others are done with theirs
     waits_for_room_ = true;
     read_pause_.Pause();
     return false;
   }
-  body_.emplace(Body{std::move(command.request), parser_.body()});
+  body_.emplace(Body{std::move(command.request), parser_.body_size()});
   body_->request->memory = std::move(memory);
   body_->request->body = NewBuffer();
-  evbuffer_drain(bufferevent_get_input(socket_.get()), parser_.head());
+  evbuffer_drain(bufferevent_get_input(socket_.get()), parser_.head_size());
   return true;
 }
 
@@ -129,7 +129,7 @@
     evbuffer_remove_buffer(in, body_->request->body.get(), take);
     body_->left -= take;
     if (body_->left > 0) return false;
-    parser_.BodyTaken();
+    parser_.BodyConsumed();
   }
   return true;
 }
@@ -144,9 +144,9 @@
 bool ClientSession::TakeCommand(std::string_view buffer) {
   if (!body_ && buffer[0] != '*') return Malformed("expected an array"), false;
   switch (parser_.Advance(buffer)) {
-    case resp::Parser::Status::kMore:
+    case resp::Parser::Status::kIncomplete:
       return false;
-    case resp::Parser::Status::kBad:
+    case resp::Parser::Status::kMalformed:
       return Malformed(parser_.error()), false;
     case resp::Parser::Status::kBody:
       return BeginBody(buffer);
@@ -218,24 +218,24 @@
 
 void ClientSession::Say(std::string_view answer) { owed_.AddAnswer(answer); }
 
-void ClientSession::Served(std::uint64_t place, evbuffer* value) {
+void ClientSession::Serve(std::uint64_t place, evbuffer* value) {
   owed_.Serve(place, value);
   Flush();
 }
 
-void ClientSession::Rejected(std::uint64_t place, Duration come_back) {
+void ClientSession::Reject(std::uint64_t place, Duration come_back) {
   owed_.Reject(place, come_back);
   Flush();
 }
 
-void ClientSession::Failed(std::uint64_t place) {
+void ClientSession::Fail(std::uint64_t place) {
   owed_.Fail(place);
   Flush();
 }
 
-void ClientSession::Begins(std::uint64_t place, std::size_t length) { owed_.BeginValue(place, length); }
+void ClientSession::BeginValue(std::uint64_t place, std::size_t length) { owed_.BeginValue(place, length); }
 
-bool ClientSession::Piece(std::uint64_t place, evbuffer* bytes) {
+bool ClientSession::AppendChunk(std::uint64_t place, evbuffer* bytes) {
   owed_.AddPiece(place, bytes);
   Flush();
   bool unwritten = evbuffer_get_length(bufferevent_get_output(socket_.get())) > 0;
@@ -247,7 +247,7 @@
 
 // A value that is not whole ends the connection; where none of it was written yet, an error can still be
 // told.
-void ClientSession::Ends(std::uint64_t place, bool whole) {
+void ClientSession::EndValue(std::uint64_t place, bool whole) {
   if (whole) {
     owed_.EndValue(place);
     return Flush();
@@ -257,7 +257,7 @@
     ++counters_.values_cut;
     return Leave();
   }
-  Failed(place);
+  Fail(place);
 }
 
 // Bytes of answers that the client has not taken.
--- a/src/front/client_session.h
+++ b/src/front/client_session.h
@@ -47,12 +47,12 @@
                 Counters& counters);
   ~ClientSession() override;
 
-  void Served(std::uint64_t place, evbuffer* value) override;
-  void Rejected(std::uint64_t place, Duration come_back) override;
-  void Failed(std::uint64_t place) override;
-  void Begins(std::uint64_t place, std::size_t length) override;
-  bool Piece(std::uint64_t place, evbuffer* bytes) override;
-  void Ends(std::uint64_t place, bool whole) override;
+  void Serve(std::uint64_t place, evbuffer* value) override;
+  void Reject(std::uint64_t place, Duration come_back) override;
+  void Fail(std::uint64_t place) override;
+  void BeginValue(std::uint64_t place, std::size_t length) override;
+  bool AppendChunk(std::uint64_t place, evbuffer* bytes) override;
+  void EndValue(std::uint64_t place, bool whole) override;
 
   // Nothing is owed and nothing has begun to arrive.
   bool idle() const;
--- a/src/member/member_codec.cpp
+++ b/src/member/member_codec.cpp
@@ -31,7 +31,7 @@
     AppendBulk(out, request.command);
     AppendBulk(out, request.key);
     AppendBulk(out, request.id);
-    AppendBulk(out, WithLimit(request.facts, left));
+    AppendBulk(out, WithRemainingTime(request.facts, left));
     if (request.write) {
       evbuffer_add_printf(out, "$%zu\r\n", ValueSize(request));
       AppendValue(request, out);
@@ -44,12 +44,12 @@
     std::string_view text = Contents(in);
     switch (parser_.Advance(text)) {
       case resp::Parser::Status::kBody:
-        length_ = left_ = parser_.body();
-        evbuffer_drain(in, parser_.head());
+        length_ = left_ = parser_.body_size();
+        evbuffer_drain(in, parser_.head_size());
         return Read(in);
-      case resp::Parser::Status::kMore:
+      case resp::Parser::Status::kIncomplete:
         return std::nullopt;
-      case resp::Parser::Status::kBad:
+      case resp::Parser::Status::kMalformed:
         return Malformed(parser_.error());
       case resp::Parser::Status::kDone:
         break;
@@ -99,7 +99,7 @@
     std::size_t take = std::min(left_, evbuffer_get_length(in));
     evbuffer_remove_buffer(in, value_.get(), take);
     left_ -= take;
-    if (left_ == 0) parser_.BodyTaken();
+    if (left_ == 0) parser_.BodyConsumed();
     return left_ == 0;
   }
   FlowReply Malformed(std::string_view complaint) {
--- a/src/member/origin.cpp
+++ b/src/member/origin.cpp
@@ -18,7 +18,7 @@
     add(" HTTP/1.1\r\nHost: origin\r\nX-Correlation-Id: ");
     add(request.id);
     add("\r\nX-Facts: ");
-    add(WithLimit(request.facts, left));  // as received, but for the time that is left
+    add(WithRemainingTime(request.facts, left));  // as received, but for the time that is left
     if (request.write) evbuffer_add_printf(out, "\r\nContent-Length: %zu", ValueSize(request));
     add("\r\n\r\n");
     AppendValue(request, out);
@@ -26,9 +26,9 @@
 
   std::optional<FlowReply> Read(evbuffer* in) override {
     switch (reader_->Read(in)) {
-      case http1::ResponseReader::Status::kMore:
+      case http1::ResponseReader::Status::kIncomplete:
         return std::nullopt;
-      case http1::ResponseReader::Status::kBad: {
+      case http1::ResponseReader::Status::kMalformed: {
         FlowReply reply;
         reply.complaint = reader_->error();
         return reply;
@@ -41,7 +41,7 @@
   }
 
   std::optional<FlowReply> ReadAtEnd() override {
-    if (!reader_ || reader_->AtEnd() != http1::ResponseReader::Status::kDone) return std::nullopt;
+    if (!reader_ || reader_->StatusAtEof() != http1::ResponseReader::Status::kDone) return std::nullopt;
     return Reply();
   }
 
--- a/src/protocol/facts.cpp
+++ b/src/protocol/facts.cpp
@@ -5,7 +5,7 @@
 namespace peatbend::net {
 namespace {
 
-// Calls `each` with every name=value part and where it starts.
+// Calls `each` with the name, the value and the offset of every name=value part.
 template <typename F>
 void ForEachFact(std::string_view facts, F each) {
   for (std::size_t at = 0; at < facts.size();) {
@@ -21,16 +21,17 @@
 
 bool FindFact(std::string_view facts, std::string_view name, std::string_view& value) {
   bool found = false;
-  ForEachFact(facts, [&](std::string_view n, std::string_view v, std::size_t) {
-    if (n != name || found) return;
-    value = v;
+  ForEachFact(facts, [&](std::string_view fact_name, std::string_view fact_value, std::size_t) {
+    if (fact_name != name || found) return;
+    value = fact_value;
     found = true;
   });
   return found;
 }
 
-std::string WithLimit(std::string_view facts, Duration limit) {
-  auto ms = std::max<std::int64_t>(1, std::chrono::duration_cast<std::chrono::milliseconds>(limit).count());
+std::string WithRemainingTime(std::string_view facts, Duration remaining) {
+  auto ms =
+      std::max<std::int64_t>(1, std::chrono::duration_cast<std::chrono::milliseconds>(remaining).count());
   std::string text, number = std::to_string(ms);
   std::string_view old;
   if (!FindFact(facts, "d", old))
--- a/src/protocol/facts.h
+++ b/src/protocol/facts.h
@@ -1,4 +1,5 @@
-// A request's list of names and values ("c=read,t=acme,d=480"), as clients write it and members read it.
+// The facts of a request: a list of names and values ("c=read,t=acme,d=480") that clients send and servers
+// read.
 #pragma once
 
 #include <string>
@@ -8,9 +9,10 @@
 
 namespace peatbend::net {
 
-// The value of `name` in a list such as "c=read,t=acme"; false if it is not there.
+// Finds the first value of `name`; `value` points into `facts`. Returns false if there is none.
 bool FindFact(std::string_view facts, std::string_view name, std::string_view& value);
-// The list with d set to this many milliseconds, all else byte for byte as it was.
-std::string WithLimit(std::string_view facts, Duration limit);
+// The list with `d`, the remaining time, set to `remaining` in whole milliseconds, at least 1. All other
+// bytes are unchanged.
+std::string WithRemainingTime(std::string_view facts, Duration remaining);
 
 }  // namespace peatbend::net
--- a/src/protocol/http1.h
+++ b/src/protocol/http1.h
@@ -1,5 +1,5 @@
-// HTTP/1.1 answers, read incrementally out of a buffer. The body is moved, not copied, into a buffer of its
-// own: as Content-Length says, in chunks, or until the connection ends.
+// An incremental reader of HTTP/1.1 responses. The body is moved, not copied, into a buffer of its own; its
+// end is given by Content-Length, by chunked transfer coding or by the end of the connection.
 #pragma once
 
 #include <cstddef>
@@ -16,41 +16,42 @@
 
 class ResponseReader {
  public:
-  enum class Status { kMore, kDone, kBad };
-  // `max_body`: more than that standing in body() at once is refused.
+  enum class Status { kIncomplete, kDone, kMalformed };
+  // `max_body`: the response is malformed if body() holds more bytes than this at once.
   explicit ResponseReader(std::size_t max_body) : max_body_(max_body) {}
 
+  // Consumes input from `in`.
   Status Read(evbuffer* in);
-  // The connection has ended.
-  Status AtEnd() const;
+  // The status of the response after the end of the connection: kDone or kMalformed.
+  Status StatusAtEof() const;
 
-  bool has_head() const { return part_ != Part::kHead; }
+  bool has_head() const { return state_ != State::kHead; }
   int status() const { return status_; }
   bool keep_alive() const { return keep_alive_; }
-  // The value of a header as sent, the first if there are several; empty if there is none. Name in lower
-  // case.
+  // The value of the first header of that name, which is given in lower case; empty if there is none.
   std::string Header(std::string_view name) const;
-  // As Content-Length says; nothing where the length is not told.
+  // The value of Content-Length, if present.
   std::optional<std::size_t> length() const { return length_; }
   evbuffer* body() const { return body_.get(); }
+  // Describes the fault after kMalformed.
   std::string_view error() const { return error_; }
 
  private:
-  enum class Part { kHead, kLength, kUntilEnd, kChunkSize, kChunk, kChunkEnd, kTrailer, kDone };
-  Status Bad(std::string_view error);
+  enum class State { kHead, kLength, kUntilEnd, kChunkSize, kChunk, kChunkEnd, kTrailer, kDone };
+  Status Fail(std::string_view error);
   Status ReadHead(evbuffer* in);
-  bool CheckHead();
+  bool HeadersValid();
   Status ReadLine(evbuffer* in, std::string& line);
-  bool Move(evbuffer* in);
+  bool MoveBody(evbuffer* in);
 
   std::size_t max_body_;
   std::optional<std::size_t> length_;
-  Part part_ = Part::kHead;
+  State state_ = State::kHead;
   int status_ = 0;
   bool keep_alive_ = true;
-  std::string head_;  // it outlives the buffer: headers are asked for once the body is there
-  std::size_t scanned_ = 0;
-  std::uint64_t left_ = 0;  // of the body, or of the chunk
+  std::string head_;             // a copy, since headers are read after the body has been consumed
+  std::size_t scanned_ = 0;      // bytes already searched for the end of the head
+  std::uint64_t remaining_ = 0;  // bytes of the body or the chunk
   BufferPtr body_ = NewBuffer();
   std::string_view error_;
 };
--- a/src/protocol/request.h
+++ b/src/protocol/request.h
@@ -1,5 +1,5 @@
-// A request between a client's protocol and the rest: a client codec hands over a Request and takes an answer
-// through an AnswerSink. Nothing here or behind it knows how either looked on the client's connection.
+// A request independent of the client's protocol: a client codec creates a Request and receives the answer
+// through an AnswerSink.
 #pragma once
 
 #include <cstdint>
@@ -14,17 +14,17 @@
 
 struct Request {
   Request() = default;
-  Request(const Request&) = delete;  // the views below point into text
+  Request(const Request&) = delete;  // the views below point into `text`
   Request& operator=(const Request&) = delete;
 
-  std::string text;  // copied from the client's buffer, which it outlives: it may be sent more than once
+  std::string text;  // a copy of the command, since the request may be sent after the client's buffer is gone
   std::string_view command, key, id, facts, value;
-  BufferPtr body;            // a large value, in place of `value`; each attempt refers to it
-  MemoryReservation memory;  // for it
+  BufferPtr body;            // a large value, instead of `value`; shared by all attempts
+  MemoryReservation memory;  // for `body`
   bool write = false, retry = false;
-  int cls = 0, tenant = -1;  // tenant: -1 if not one of the settings'
-  std::uint64_t client = 0;  // a hash of its address, the same at all routers; 0 where nobody asks for it
-  Duration remaining{};      // from the arrival of the last byte
+  int cls = 0, tenant = -1;  // indexes into Settings; tenant is -1 if unknown
+  std::uint64_t client = 0;  // hash of the client's address, equal on all routers; 0 if not needed
+  Duration remaining{};      // until the deadline, as of the arrival of the last byte
 };
 
 inline std::size_t ValueSize(const Request& request) {
@@ -38,19 +38,22 @@
   }
 }
 
+// Receives the answers to the requests of one client. `position` is the number of the request's command on
+// the client's connection, from 0. Each request gets either one call of the first three, or BeginValue, any
+// number of AppendChunk and EndValue.
 class AnswerSink {
  public:
   virtual ~AnswerSink() = default;
-  // One of these, once for each place. `value` may be emptied.
-  virtual void Served(std::uint64_t place, evbuffer* value) = 0;
-  virtual void Rejected(std::uint64_t place, Duration come_back) = 0;
-  virtual void Failed(std::uint64_t place) = 0;
-  // Or the three below: a value of `length` bytes that is passed on as it comes. Ends is the last; not
-  // `whole`: the client must be able to tell.
-  virtual void Begins(std::uint64_t place, std::size_t length) = 0;
-  // Takes the bytes. False: no more for now, till the stage is told to go on.
-  virtual bool Piece(std::uint64_t place, evbuffer* bytes) = 0;
-  virtual void Ends(std::uint64_t place, bool whole) = 0;
+  // May drain `value`.
+  virtual void Serve(std::uint64_t position, evbuffer* value) = 0;
+  virtual void Reject(std::uint64_t position, Duration come_back) = 0;
+  virtual void Fail(std::uint64_t position) = 0;
+  // Starts a value of `length` bytes that is forwarded as it arrives.
+  virtual void BeginValue(std::uint64_t position, std::size_t length) = 0;
+  // Drains `bytes`. False: the caller must pause until BalancerDriver::ResumeStream.
+  virtual bool AppendChunk(std::uint64_t position, evbuffer* bytes) = 0;
+  // If not `complete`, the value was cut off and the client must be able to detect that.
+  virtual void EndValue(std::uint64_t position, bool complete) = 0;
 };
 
 }  // namespace peatbend::net
--- a/src/protocol/resp.cpp
+++ b/src/protocol/resp.cpp
@@ -7,62 +7,62 @@
 namespace peatbend::net::resp {
 namespace {
 
-// RESP lengths: digits, or -1 for null.
-bool ParseLength(std::string_view text, std::int64_t most, std::int64_t& value) {
-  return ParseNumber(text, value) && value >= -1 && value <= most;
+// Parses a RESP length of up to `max`, or -1 for null.
+bool ParseLength(std::string_view text, std::int64_t max, std::int64_t& value) {
+  return ParseNumber(text, value) && value >= -1 && value <= max;
 }
 
 }  // namespace
 
-Parser::Status Parser::Bad(std::string_view error) {
+Parser::Status Parser::Fail(std::string_view error) {
   error_ = error;
-  return Status::kBad;
+  return Status::kMalformed;
 }
 
-// The line at at_, without its end; moves past it.
-Parser::Status Parser::Line(std::string_view buffer, std::string_view& line) {
-  std::size_t end = buffer.find("\r\n", std::max(at_, scanned_));
+// Reads the line at position_ without its end and moves past it.
+Parser::Status Parser::ReadLine(std::string_view buffer, std::string_view& line) {
+  std::size_t end = buffer.find("\r\n", std::max(position_, scanned_));
   if (end == std::string_view::npos) {
-    if (buffer.size() - at_ > kMaxLine) return Bad("line too long");
-    scanned_ = std::max(at_, buffer.size() - std::min<std::size_t>(buffer.size(), 1));
-    return Status::kMore;
+    if (buffer.size() - position_ > kMaxLine) return Fail("line too long");
+    scanned_ = std::max(position_, buffer.size() - std::min<std::size_t>(buffer.size(), 1));
+    return Status::kIncomplete;
   }
-  if (end - at_ > kMaxLine) return Bad("line too long");
-  line = buffer.substr(at_, end - at_);
-  at_ = end + 2;
+  if (end - position_ > kMaxLine) return Fail("line too long");
+  line = buffer.substr(position_, end - position_);
+  position_ = end + 2;
   return Status::kDone;
 }
 
-// One bulk string, its length line included.
-Parser::Status Parser::Bulk(std::string_view buffer) {
+// Reads one bulk string including its length line.
+Parser::Status Parser::ReadBulk(std::string_view buffer) {
   bool may_be_body = message_.type == Type::kArray && static_cast<int>(message_.items.size()) == body_item_;
-  if (bulk_ < 0) {
+  if (bulk_size_ < 0) {
     std::string_view line;
-    if (at_ < buffer.size() && buffer[at_] != '$') return Bad("expected a bulk string");
-    if (Status status = Line(buffer, line); status != Status::kDone) return status;
-    if (!ParseLength(line.substr(1), may_be_body ? kMaxBody : kMaxValue, bulk_))
-      return Bad("bad bulk length");
-    if (bulk_ < 0) {
+    if (position_ < buffer.size() && buffer[position_] != '$') return Fail("expected a bulk string");
+    if (Status status = ReadLine(buffer, line); status != Status::kDone) return status;
+    if (!ParseLength(line.substr(1), may_be_body ? kMaxBody : kMaxValue, bulk_size_))
+      return Fail("bad bulk length");
+    if (bulk_size_ < 0) {
       message_.items.push_back({.null = true});
       return Status::kDone;
     }
   }
-  auto size = static_cast<std::size_t>(bulk_);
+  auto size = static_cast<std::size_t>(bulk_size_);
   if (size > kMaxValue) return Status::kBody;
-  if (at_ + size + 2 > kMaxMessage) return Bad("message too long");
-  if (buffer.size() < at_ + size + 2) return Status::kMore;
-  if (buffer.substr(at_ + size, 2) != "\r\n") return Bad("bulk string not ended");
-  message_.items.push_back({at_, size});
-  at_ += size + 2;
-  bulk_ = -1;
+  if (position_ + size + 2 > kMaxMessage) return Fail("message too long");
+  if (buffer.size() < position_ + size + 2) return Status::kIncomplete;
+  if (buffer.substr(position_ + size, 2) != "\r\n") return Fail("bulk string not ended");
+  message_.items.push_back({position_, size});
+  position_ += size + 2;
+  bulk_size_ = -1;
   return Status::kDone;
 }
 
-void Parser::BodyTaken() {
+void Parser::BodyConsumed() {
   message_.items.push_back({});
   --items_left_;
-  bulk_ = -1;
-  at_ = scanned_ = 0;
+  bulk_size_ = -1;
+  position_ = scanned_ = 0;
   after_body_ = true;
 }
 
@@ -70,12 +70,12 @@
   if (after_body_) {
     std::string_view end = "\r\n";
     if (!buffer.starts_with(end))
-      return end.starts_with(buffer) ? Status::kMore : Bad("bulk string not ended");
-    at_ = end.size();
+      return end.starts_with(buffer) ? Status::kIncomplete : Fail("bulk string not ended");
+    position_ = end.size();
     after_body_ = false;
   }
   if (items_left_ < 0) {
-    if (buffer.empty()) return Status::kMore;
+    if (buffer.empty()) return Status::kIncomplete;
     switch (buffer[0]) {
       case '*':
         message_.type = Type::kArray;
@@ -93,15 +93,15 @@
         message_.type = Type::kInteger;
         break;
       default:
-        return Bad("unknown type");
+        return Fail("unknown type");
     }
     if (message_.type == Type::kBulk) {
       items_left_ = 1;
     } else {
       std::string_view line;
-      if (Status status = Line(buffer, line); status != Status::kDone) return status;
+      if (Status status = ReadLine(buffer, line); status != Status::kDone) return status;
       if (message_.type == Type::kArray) {
-        if (!ParseLength(line.substr(1), kMaxItems, items_left_)) return Bad("bad array length");
+        if (!ParseLength(line.substr(1), kMaxItems, items_left_)) return Fail("bad array length");
         message_.null = items_left_ < 0;
         items_left_ = std::max<std::int64_t>(items_left_, 0);
       } else {
@@ -111,9 +111,9 @@
     }
   }
   for (; items_left_ > 0; --items_left_) {
-    if (Status status = Bulk(buffer); status != Status::kDone) return status;
+    if (Status status = ReadBulk(buffer); status != Status::kDone) return status;
   }
-  message_.size = at_;
+  message_.size = position_;
   return Status::kDone;
 }
 
--- a/src/stage/transaction.cpp
+++ b/src/stage/transaction.cpp
@@ -13,7 +13,7 @@
   if (AnswerSink* client = Answer()) {
     ++PerClass().served;
     fate_ = Fate::kServed;
-    client->Served(place_, value);
+    client->Serve(place_, value);
   }
 }
 
@@ -21,14 +21,14 @@
   if (AnswerSink* client = Answer()) {
     ++PerClass().rejected;
     fate_ = Fate::kRejected;
-    client->Rejected(place_, come_back);
+    client->Reject(place_, come_back);
   }
 }
 
 void Transaction::Fail() {
   if (AnswerSink* client = Answer()) {
     ++PerClass().failed;
-    client->Failed(place_);
+    client->Fail(place_);
   }
 }
 
@@ -37,7 +37,7 @@
 bool Transaction::Begin(int attempt, std::size_t length) {
   if (client_ == nullptr || streams_ >= 0) return false;
   streams_ = attempt;
-  client_->Begins(place_, length);
+  client_->BeginValue(place_, length);
   return true;
 }
 
@@ -46,7 +46,7 @@
   if (client == nullptr) return;
   whole ? ++PerClass().served : ++PerClass().failed;
   fate_ = whole ? Fate::kServed : Fate::kLost;
-  client->Ends(place_, whole);
+  client->EndValue(place_, whole);
 }
 
 bool Transaction::waits_for_server() const {
--- a/src/stage/transaction.h
+++ b/src/stage/transaction.h
@@ -29,7 +29,7 @@
   // A large value: from Begin on the transaction is this attempt's, and only EndValue ends it, or the client.
   // False: it has ended, or is another's.
   bool Begin(int attempt, std::size_t length);
-  bool Piece(evbuffer* bytes) { return client_->Piece(place_, bytes); }
+  bool Piece(evbuffer* bytes) { return client_->AppendChunk(place_, bytes); }
   void EndValue(bool whole);
   // The attempt whose value was being passed on when the client left; -1: none.
   int left_at() const { return client_ == nullptr ? streams_ : -1; }
--- a/src/standin/member_standin.cpp
+++ b/src/standin/member_standin.cpp
@@ -67,8 +67,8 @@
       }
       std::string_view text = net::Contents(in);
       auto status = parser_.Advance(text);
-      if (status == net::resp::Parser::Status::kMore) return;
-      if (status == net::resp::Parser::Status::kBad) return Drop();
+      if (status == net::resp::Parser::Status::kIncomplete) return;
+      if (status == net::resp::Parser::Status::kMalformed) return Drop();
       Command(parser_.message(), text);
       evbuffer_drain(in, parser_.message().size);
       parser_.Reset();
--- a/tests/net/held_attempt_test.cpp
+++ b/tests/net/held_attempt_test.cpp
@@ -42,12 +42,12 @@
   void Finish(RequestId, failover::OperationOutcome, std::string) override {}
   void Left(RequestId) override { ++lefts; }  // nothing follows
 
-  void Served(std::uint64_t, evbuffer*) override { ++answers; }
-  void Rejected(std::uint64_t, Duration) override { ++answers; }
-  void Failed(std::uint64_t) override { ++answers; }
-  void Begins(std::uint64_t, std::size_t) override {}
-  bool Piece(std::uint64_t, evbuffer*) override { return true; }
-  void Ends(std::uint64_t, bool) override {}
+  void Serve(std::uint64_t, evbuffer*) override { ++answers; }
+  void Reject(std::uint64_t, Duration) override { ++answers; }
+  void Fail(std::uint64_t) override { ++answers; }
+  void BeginValue(std::uint64_t, std::size_t) override {}
+  bool AppendChunk(std::uint64_t, evbuffer*) override { return true; }
+  void EndValue(std::uint64_t, bool) override {}
 
   Stage stage;
   Settings settings = stage.Configured().settings;
--- a/tests/net/parsers_test.cpp
+++ b/tests/net/parsers_test.cpp
@@ -1,5 +1,5 @@
-// Tables of cases for what strangers write: RESP, HTTP, commands, lists, configuration. Each message is fed
-// whole and byte by byte, and must come out alike.
+// Parsers of untrusted input: RESP, HTTP, client commands, server lists and the configuration. Each RESP and
+// HTTP message is parsed both whole and in pieces, with the same result.
 #include <optional>
 #include <string>
 #include <vector>
@@ -18,9 +18,9 @@
 
 using Status = resp::Parser::Status;
 
-std::string Shown(Status status, const resp::Parser& parser, std::string_view text) {
-  if (status == Status::kMore) return "more";
-  if (status == Status::kBad) return "bad: " + std::string(parser.error());
+std::string ToText(Status status, const resp::Parser& parser, std::string_view text) {
+  if (status == Status::kIncomplete) return "more";
+  if (status == Status::kMalformed) return "bad: " + std::string(parser.error());
   std::string shown(1, "*$+-:"[static_cast<int>(parser.message().type)]);
   if (parser.message().null) shown += " null";
   for (const resp::Slice& item : parser.message().items) {
@@ -32,11 +32,11 @@
 TEST_CASE("RESP messages") {
   const std::string big(resp::kMaxValue, 'x'), length = std::to_string(big.size());
   const struct {
-    std::string text, shown;
+    std::string text, expected;
   } cases[] = {
       {"*2\r\n$3\r\nGET\r\n$1\r\nk\r\n", "* GET k /20"},
-      {"*2\r\n$3\r\nGET\r\n$1\r\nk\r\n*1\r\n", "* GET k /20"},  // the next one is left alone
-      {"*1\r\n$4\r\na\r\nb\r\n", "* a\r\nb /14"},               // line ends in a value are its own
+      {"*2\r\n$3\r\nGET\r\n$1\r\nk\r\n*1\r\n", "* GET k /20"},  // the next message is left unread
+      {"*1\r\n$4\r\na\r\nb\r\n", "* a\r\nb /14"},               // line ends within a value belong to it
       {"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n", "* (null) miss (null) /24"},
       {"*0\r\n", "* /4"},
       {"*-1\r\n", "* null /5"},
@@ -67,34 +67,35 @@
   for (const auto& one : cases) {
     CAPTURE(one.text.substr(0, 60));
     resp::Parser whole;
-    CHECK(Shown(whole.Advance(one.text), whole, one.text) == one.shown);
+    CHECK(ToText(whole.Advance(one.text), whole, one.text) == one.expected);
     resp::Parser parts;
-    Status status = Status::kMore;
+    Status status = Status::kIncomplete;
     std::size_t step = one.text.size() > 1000 ? 997 : 1;
-    for (std::size_t at = 0; at < one.text.size() && status == Status::kMore; at += step) {
+    for (std::size_t at = 0; at < one.text.size() && status == Status::kIncomplete; at += step) {
       status = parts.Advance(std::string_view(one.text).substr(0, at + step));
     }
-    CHECK(Shown(status, parts, one.text) == one.shown);
+    CHECK(ToText(status, parts, one.text) == one.expected);
   }
 }
 
 std::string Read(http1::ResponseReader& reader, const std::string& text, std::size_t step) {
   BufferPtr in = NewBuffer();
-  auto status = http1::ResponseReader::Status::kMore;
-  for (std::size_t at = 0; at < text.size() && status == http1::ResponseReader::Status::kMore; at += step) {
+  auto status = http1::ResponseReader::Status::kIncomplete;
+  for (std::size_t at = 0; at < text.size() && status == http1::ResponseReader::Status::kIncomplete;
+       at += step) {
     Append(in.get(), std::string_view(text).substr(at, step));
     status = reader.Read(in.get());
   }
-  if (status == http1::ResponseReader::Status::kBad) return "bad: " + std::string(reader.error());
+  if (status == http1::ResponseReader::Status::kMalformed) return "bad: " + std::string(reader.error());
   std::string shown = status == http1::ResponseReader::Status::kDone ? "done" : "more";
-  if (reader.AtEnd() == http1::ResponseReader::Status::kDone && shown == "more") shown = "at end";
+  if (reader.StatusAtEof() == http1::ResponseReader::Status::kDone && shown == "more") shown = "at end";
   return shown + " " + std::to_string(reader.status()) + (reader.keep_alive() ? " keep " : " close ") +
          std::string(Contents(reader.body()));
 }
 
 TEST_CASE("HTTP answers") {
   const struct {
-    std::string text, shown;
+    std::string text, expected;
   } cases[] = {
       {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", "done 200 keep abc"},
       {"HTTP/1.1 200 OK\r\ncontent-LENGTH:0\r\n\r\n", "done 200 keep "},
@@ -114,8 +115,8 @@
       {"HTTP/1.1 2x0 OK\r\n\r\n", "bad: bad status line"},
       {"ICY 200 OK\r\n\r\n", "bad: bad status line"},
       {std::string(20000, 'h'), "bad: head too long"},
-      // What tells in two ways where the body ends, or has a line that is no header, cannot be trusted to be
-      // whole.
+      // With conflicting headers for the end of the body, or a line that is no header, the response may be
+      // truncated.
       {"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 3\r\n\r\nabc", "bad: bad headers"},
       {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", "done 200 keep abc"},
       {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", "bad: bad headers"},
@@ -131,8 +132,8 @@
   for (const auto& one : cases) {
     CAPTURE(one.text.substr(0, 90));
     http1::ResponseReader whole(10), parts(10);
-    CHECK(Read(whole, one.text, one.text.size()) == one.shown);
-    CHECK(Read(parts, one.text, one.text.size() > 1000 ? 1000 : 1) == one.shown);
+    CHECK(Read(whole, one.text, one.text.size()) == one.expected);
+    CHECK(Read(parts, one.text, one.text.size() > 1000 ? 1000 : 1) == one.expected);
   }
 }
 
@@ -154,13 +155,13 @@
   const Settings settings = TwoClasses();
   const struct {
     std::vector<std::string> words;
-    std::string shown;  // class tenant write retry milliseconds
+    std::string expected;  // class tenant write retry milliseconds
   } cases[] = {
       {{"OBJ.GET", "7f3a9c21e0b4d655", "9b1f", "c=read,t=acme,d=480"}, "0 0 0 0 480"},
       {{"obj.get", "k", "9b1f", "c=read,t=nobody,d=480,r=1,size=7"}, "0 -1 0 1 480"},
       {{"OBJ.GET", "k", "9b1f", "c=read"}, "0 -1 0 0 900"},
       {{"OBJ.SET", "k", "9b1f", "c=put,d=5,k=5c0f", "va\r\nlue"}, "1 -1 1 0 5"},
-      {{"OBJ.GET", "k", "9b1f", "c=read,d=99999999"}, "0 -1 0 0 900"},  // not longer than its class
+      {{"OBJ.GET", "k", "9b1f", "c=read,d=99999999"}, "0 -1 0 0 900"},  // limited by its class
       {{"ping"}, "ping"},
       {{"SELECT", "0"}, "polite"},
       {{"QUIT"}, "quit"},
@@ -192,17 +193,18 @@
       CHECK(r->key == one.words[1]);
       CHECK(r->facts == one.words[3]);
     }
-    CHECK(shown == one.shown);
+    CHECK(shown == one.expected);
   }
 }
 
-TEST_CASE("only d changes in what is passed on") {
+TEST_CASE("only d changes in forwarded facts") {
   using std::chrono::milliseconds;
-  CHECK(WithLimit("c=read,t=acme,d=480,k=5c,size=9", milliseconds(77)) == "c=read,t=acme,d=77,k=5c,size=9");
-  CHECK(WithLimit("d=480", milliseconds(1234)) == "d=1234");
-  CHECK(WithLimit("c=read", milliseconds(8)) == "c=read,d=8");
-  CHECK(WithLimit("cd=3,d=4", milliseconds(8)) == "cd=3,d=8");
-  CHECK(WithLimit("d=480", Duration(1)) == "d=1");
+  CHECK(WithRemainingTime("c=read,t=acme,d=480,k=5c,size=9", milliseconds(77)) ==
+        "c=read,t=acme,d=77,k=5c,size=9");
+  CHECK(WithRemainingTime("d=480", milliseconds(1234)) == "d=1234");
+  CHECK(WithRemainingTime("c=read", milliseconds(8)) == "c=read,d=8");
+  CHECK(WithRemainingTime("cd=3,d=4", milliseconds(8)) == "cd=3,d=8");
+  CHECK(WithRemainingTime("d=480", Duration(1)) == "d=1");
 }
 
 TEST_CASE("answers of members and of the origin") {
@@ -303,7 +305,7 @@
 
 const char* NoVariable(const char*) { return nullptr; }
 
-TEST_CASE("configuration: what is wrong is named") {
+TEST_CASE("configuration: errors name the faulty key") {
   const std::string settings =
       R"("settings":{"classes":[{"name":"read","deadline":1e9,"objective":500000000}],"zones":["a","b"],
          "ceilings":{"dialTimeout":250000000},"rules":{"warmAfter":24000000000}})";
@@ -312,7 +314,8 @@
            R"({"name":"n3","listen":"127.0.0.1:6379","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",)" +
            settings + "}"},
       [](const char* name) { return std::string(name) == "BALANCER_NAME" ? "n4" : nullptr; });
-  CHECK(config.name == "n3");  // the file goes first: a reload could not change a variable
+  CHECK(config.name ==
+        "n3");  // the file has precedence, since a reload could not change an environment variable
   const std::string no_name = R"({"listen":"127.0.0.1:1",)" + settings + "}";
   config = ReadConfig({.json = no_name}, [](const char* name) {
     return std::string(name) == "BALANCER_NAME" ? "n4" : "127.0.0.1:2";
