--- a/src/front/client_session.cpp
+++ b/src/front/client_session.cpp
@@ -20,9 +20,9 @@
 constexpr Milliseconds kLastLinger{300};  // after a last call, for a client to see the end
 }  // namespace
 
-ClientSession::ClientSession(SessionHome& home, event_base* base, evutil_socket_t socket, Decision& decision,
-                             const Settings& settings, const Tuning::Clients& tuning, const Clock& clock,
-                             Log& log, Counters& counters)
+ClientSession::ClientSession(SessionHome& home, event_base* base, evutil_socket_t socket,
+                             BalancerDriver& decision, const Settings& settings,
+                             const Tuning::Clients& tuning, const Clock& clock, Log& log, Counters& counters)
     : home_(home),
       decision_(decision),
       settings_(settings),
@@ -166,8 +166,8 @@
   switch (command.kind) {
     case Kind::kRequest: {
       ++requests_;
-      if (decision_.asks_for_clients()) command.request->client = Client();
-      auto id = decision_.Take(std::move(command.request), *this, owed_.next_place());
+      if (decision_.needs_client_hash()) command.request->client = Client();
+      auto id = decision_.Admit(std::move(command.request), *this, owed_.next_place());
       if (!id) {  // two requests under one id could be given each other's answers
         ++counters_.ids_in_use;
         log_.Line("id in use", "a request was answered -ERR");
@@ -283,7 +283,7 @@
 
 void ClientSession::Written() {  // all that was to be written is
   memory_.Set(Unsent());
-  if (owed_.first_paused()) return decision_.GoOn(owed_.ResumeFirst());
+  if (owed_.first_paused()) return decision_.ResumeStream(owed_.ResumeFirst());
   if (closing_ && owed_.empty()) {
     // Not closed yet, lest a reset overtake the answer. What comes after a last call stays unread: its client
     // may send it again. What comes after a malformed command can't be told apart; it is read and dropped.
--- a/src/front/client_session.h
+++ b/src/front/client_session.h
@@ -18,7 +18,7 @@
 #include "front/read_pause.h"
 #include "protocol/request.h"
 #include "protocol/resp.h"
-#include "stage/decision.h"
+#include "stage/balancer_driver.h"
 
 namespace peatbend::net {
 
@@ -42,7 +42,7 @@
 
 class ClientSession : public AnswerSink {
  public:
-  ClientSession(SessionHome& home, event_base* base, evutil_socket_t socket, Decision& decision,
+  ClientSession(SessionHome& home, event_base* base, evutil_socket_t socket, BalancerDriver& decision,
                 const Settings& settings, const Tuning::Clients& tuning, const Clock& clock, Log& log,
                 Counters& counters);
   ~ClientSession() override;
@@ -128,7 +128,7 @@
   }
 
   SessionHome& home_;
-  Decision& decision_;
+  BalancerDriver& decision_;
   const Settings& settings_;
   const Tuning::Clients& tuning_;
   const Clock& clock_;
--- a/src/front/listener.cpp
+++ b/src/front/listener.cpp
@@ -20,7 +20,7 @@
 constexpr std::chrono::milliseconds kSilentAway{600}, kLastCall{1500}, kHalfAway{2400};
 }  // namespace
 
-Listener::Listener(event_base* base, int socket, const Doors& doors, HandOn hand_on, Decision& decision,
+Listener::Listener(event_base* base, int socket, const Doors& doors, HandOn hand_on, BalancerDriver& decision,
                    const Settings& settings, const Tuning::Clients& tuning, SocketBudget& sockets,
                    std::size_t most_unread, MemoryBudget& memory, const Clock& clock, Log& log,
                    Counters& counters)
--- a/src/front/listener.h
+++ b/src/front/listener.h
@@ -11,7 +11,7 @@
 #include "base/log.h"
 #include "base/socket_budget.h"
 #include "front/client_session.h"
-#include "stage/decision.h"
+#include "stage/balancer_driver.h"
 
 namespace peatbend::net {
 
@@ -20,7 +20,7 @@
   // `socket` listens already and becomes the listener's. `hand_on` takes a session that is at rest to the
   // process that follows, and says whether it did; the listener then ends it.
   using HandOn = std::function<bool(ClientSession&)>;
-  Listener(event_base* base, int socket, const Doors& doors, HandOn hand_on, Decision& decision,
+  Listener(event_base* base, int socket, const Doors& doors, HandOn hand_on, BalancerDriver& decision,
            const Settings& settings, const Tuning::Clients& tuning, SocketBudget& sockets,
            std::size_t most_unread, MemoryBudget& memory, const Clock& clock, Log& log, Counters& counters);
   ~Listener() override;
@@ -62,7 +62,7 @@
   bool accepting_ = true;
   TimePoint closing_since_ = TimePoint::max();  // the doors have said kCloses since
   TimePoint read_until_ = TimePoint::max(), answer_by_ = TimePoint::max();
-  Decision& decision_;
+  BalancerDriver& decision_;
   const Settings& settings_;
   const Tuning::Clients& tuning_;
   SocketBudget& sockets_;
--- a/src/router/figures.cpp
+++ b/src/router/figures.cpp
@@ -34,7 +34,7 @@
     add(prefix + ".error", counts.failed);
   }
   add("dispatches", counters_.dispatches);
-  add("concurrent", decision_.open());
+  add("concurrent", decision_.open_requests());
   auto cached = [this](const auto& one) {
     return !running_.settings.aside || one.second.entry.kind != running_.settings.origin_kind;
   };
--- a/src/router/overload_office.cpp
+++ b/src/router/overload_office.cpp
@@ -31,7 +31,7 @@
 }  // namespace
 
 OverloadOffice::OverloadOffice(event_base* base, const Config& config, peers::Peers& peers,
-                               Decision& decision, Log& log)
+                               BalancerDriver& decision, Log& log)
     : settings_(config.settings),
       self_(config.name),
       peers_(peers),
@@ -46,13 +46,13 @@
   for (const std::string& seat : config.overload.seats) seats_.push_back(failover::ParseReplica(seat).router);
   peers_.OnCargo(peers::Peers::Lane::kOverload,
                  [this](const std::string& from, const std::string& bytes) { Arrived(from, bytes); });
-  decision_.Watch(this);
+  decision_.SetOverloadControl(this);
   started_ = peers::Peers::Now();
   tick_.Set(overload::kWindow);
 }
 
 OverloadOffice::~OverloadOffice() {
-  decision_.Watch(nullptr);
+  decision_.SetOverloadControl(nullptr);
   peers_.OnCargo(peers::Peers::Lane::kOverload, {});
 }
 
@@ -60,7 +60,7 @@
 
 // What is below the cut even if it is within its ration takes no token of it. It is counted where it would
 // rank then: all of that is shed, so the cut comes out the same.
-std::uint64_t OverloadOffice::Judge(const Request& request, Rationing* rationing, RequestEvent& event) {
+std::uint64_t OverloadOffice::Admit(const Request& request, QuotaCheck* rationing, RequestEvent& event) {
   overload::Asked asked;
   asked.cls = request.cls;
   asked.work = event.work_hint;
@@ -68,7 +68,7 @@
   asked.id = overload::IdOf(request.id.empty() ? request.key : request.id);
   double rank = order_.Of(asked);
   if (rationing != nullptr && rank >= cut_.standing().CutOf(request.tenant)) {
-    rationing->Judge(request, event);
+    rationing->Check(request, event);
     if (event.allowance == Allowance::kReject) return 0;
     asked.over_ration = event.allowance == Allowance::kLower;
     if (asked.over_ration) rank = order_.Of(asked);
@@ -83,16 +83,16 @@
   return 0;
 }
 
-void OverloadOffice::Ended(std::uint64_t work, int cls, Fate fate, Duration took) {
-  if (fate == Fate::kNoRoom) {
+void OverloadOffice::OnRequestEnded(std::uint64_t work, int cls, Outcome outcome, Duration took) {
+  if (outcome == Outcome::kRejected) {
     ++full_;
     return cut_.watch().Full(work);
   }
-  if (fate == Fate::kLost) return cut_.watch().Lost(work);
+  if (outcome == Outcome::kLost) return cut_.watch().Lost(work);
   cut_.watch().Served(work, took - behind_ > settings_.classes[static_cast<std::size_t>(cls)].aim);
 }
 
-void OverloadOffice::Answered(std::string_view server, int cls, Duration elapsed, const LoadReport& load) {
+void OverloadOffice::OnAnswer(std::string_view server, int cls, Duration elapsed, const LoadReport& load) {
   auto place = OfOrigin(server) ? overload::Place::kOrigin : overload::Place::kMembers;
   overload::Span wait = usual_.Beyond(peers::Peers::Now(), server, cls, elapsed);
   if (load.queued && *load.queued < 1) wait = {};
@@ -101,7 +101,7 @@
   if (auto at = out_.find(server); at != out_.end()) at->second.answered = true;
 }
 
-void OverloadOffice::Sending(std::string_view server) {
+void OverloadOffice::OnSend(std::string_view server) {
   if (out_.empty()) return;
   auto at = out_.find(server);
   if (at == out_.end() || !at->second.own || std::exchange(at->second.sent, true)) return;
@@ -208,11 +208,11 @@
     trials_.Anew(now.name);
     out_.erase(now.name);
     if (before.empty()) {
-      decision_.Say({entry.id, TrialWord::kBack});
+      decision_.HandleTrial({entry.id, TrialWord::kBack});
       continue;
     }
     IsBack(now.name, std::to_string(now.started.time_since_epoch().count()), {});
-    if (returns_.Holds(now.name)) decision_.Say({entry.id, TrialWord::kOut});
+    if (returns_.Holds(now.name)) decision_.HandleTrial({entry.id, TrialWord::kOut});
   }
   for (const auto& [id, listing] : before) {
     if (members_.contains(id)) continue;
@@ -222,7 +222,7 @@
   }
 }
 
-void OverloadOffice::Tried(const Trial& trial) {
+void OverloadOffice::OnTrial(const Trial& trial) {
   const std::string& name = trial.server.name;
   overload::Time now = peers::Peers::Now();
   auto at = out_.find(name);
@@ -231,7 +231,7 @@
   if (trial.good || own) {
     trials_.Ended(now, name, trial.good);
   } else if (!trials_.Failed(now, name)) {  // it is not kept: the module tries for itself
-    return decision_.Say({trial.server, TrialWord::kBack});
+    return decision_.HandleTrial({trial.server, TrialWord::kBack});
   }
   if (!trials_.Out(name)) {
     out_.erase(name);
@@ -252,20 +252,20 @@
     // A young router may have missed that it was out, and take one that has begun anew for a warm one.
     out_.erase(name);
     IsBack(name, std::to_string(news.epoch), young ? kYoung : now - since.value_or(now));
-    if (young && returns_.Holds(name)) decision_.Say({ServerId{name}, TrialWord::kOut});
+    if (young && returns_.Holds(name)) decision_.HandleTrial({ServerId{name}, TrialWord::kOut});
     return;
   }
   if (!trials_.Out(name)) return;
   Turn& turn = out_[name];
   if (step) {
     returns_.Drop(name);
-    if (!turn.own) decision_.Say({ServerId{name}, TrialWord::kWait});
+    if (!turn.own) decision_.HandleTrial({ServerId{name}, TrialWord::kWait});
   }
   // Two others get nothing from it, or one where this router knows little, and nothing has come here either.
   bool now_out = (!by_two && trials_.OutByTwo(name)) || (young && !since);
   if (!now_out || turn.answered || turn.own) return;
   ++by_word_;
-  decision_.Say({ServerId{name}, TrialWord::kOut});
+  decision_.HandleTrial({ServerId{name}, TrialWord::kOut});
 }
 
 // Not dialled by all at one moment, nor given its whole load before discovery may have said that it is cold.
@@ -280,7 +280,7 @@
 
 void OverloadOffice::BringBack(const std::string& member) {
   ++brought_back_;
-  decision_.Say({ServerId{member}, TrialWord::kBack});
+  decision_.HandleTrial({ServerId{member}, TrialWord::kBack});
 }
 
 void OverloadOffice::TryMembers() {
@@ -293,12 +293,12 @@
       turn.own = true;
       turn.sent = false;
       turn.since = now;
-      decision_.Say({ServerId{name}, TrialWord::kTry});
+      decision_.HandleTrial({ServerId{name}, TrialWord::kTry});
     } else if (turn.own && !turn.sent && now - turn.since >= kTurnFor) {
       turn.own = false;
       ++passed_;
       trials_.Passed(now, name);
-      decision_.Say({ServerId{name}, TrialWord::kWait});
+      decision_.HandleTrial({ServerId{name}, TrialWord::kWait});
     }
   }
 }
--- a/src/router/overload_office.h
+++ b/src/router/overload_office.h
@@ -19,23 +19,24 @@
 #include "overload/trials.h"
 #include "overload/usual.h"
 #include "peers/peers.h"
-#include "stage/decision.h"
-#include "stage/watching.h"
+#include "stage/balancer_driver.h"
+#include "stage/overload_control.h"
 
 namespace peatbend::net {
 
-class OverloadOffice : public Watching {
+class OverloadOffice : public OverloadControl {
  public:
   // Speaks through `peers`, and tells `decision` of itself; both outlive it.
-  OverloadOffice(event_base* base, const Config& config, peers::Peers& peers, Decision& decision, Log& log);
+  OverloadOffice(event_base* base, const Config& config, peers::Peers& peers, BalancerDriver& decision,
+                 Log& log);
   ~OverloadOffice() override;
 
-  std::uint64_t Judge(const Request& request, Rationing* rationing, RequestEvent& event) override;
-  void Ended(std::uint64_t work, int cls, Fate fate, Duration took) override;
-  void Answered(std::string_view server, int cls, Duration elapsed, const LoadReport& load) override;
-  void Sending(std::string_view server) override;
+  std::uint64_t Admit(const Request& request, QuotaCheck* rationing, RequestEvent& event) override;
+  void OnRequestEnded(std::uint64_t work, int cls, Outcome outcome, Duration took) override;
+  void OnAnswer(std::string_view server, int cls, Duration elapsed, const LoadReport& load) override;
+  void OnSend(std::string_view server) override;
   void ServerListChanged(Scope scope, const std::vector<ServerEntry>& entries) override;
-  void Tried(const Trial& trial) override;
+  void OnTrial(const Trial& trial) override;
 
   // The program's figures of it, names without a prefix.
   std::vector<std::pair<std::string, std::uint64_t>> Figures() const;
@@ -71,7 +72,7 @@
   std::string self_;
   std::vector<std::string> seats_;
   peers::Peers& peers_;
-  Decision& decision_;
+  BalancerDriver& decision_;
   Log& log_;
   overload::Order order_;
   overload::Cut cut_;
--- a/src/router/ration_office.cpp
+++ b/src/router/ration_office.cpp
@@ -76,8 +76,8 @@
 
 }  // namespace
 
-RationOffice::RationOffice(event_base* base, const Config& config, peers::Peers& peers, Decision& decision,
-                           Log& log)
+RationOffice::RationOffice(event_base* base, const Config& config, peers::Peers& peers,
+                           BalancerDriver& decision, Log& log)
     : settings_(config.settings),
       peers_(&peers),
       decision_(decision),
@@ -94,7 +94,7 @@
   }
   peers_->OnCargo(peers::Peers::Lane::kRations,
                   [this](const std::string& from, const std::string& bytes) { Arrived(from, bytes); });
-  decision_.Ration(this);
+  decision_.SetQuotaCheck(this);
   log_.Line("rations", fmt::format("book {:016x} of {} rations holds", office_.table().print,
                                    office_.table().rations.size()));
   Tick();
@@ -102,7 +102,7 @@
 
 RationOffice::~RationOffice() {
   Hush();
-  decision_.Ration(nullptr);
+  decision_.SetQuotaCheck(nullptr);
 }
 
 void RationOffice::Hush() {
@@ -118,7 +118,7 @@
   Flush();
 }
 
-void RationOffice::Judge(const Request& request, RequestEvent& event) {
+void RationOffice::Check(const Request& request, RequestEvent& event) {
   rations::Asked asked;
   asked.tenant = request.tenant;
   asked.cls = request.cls;
--- a/src/router/ration_office.h
+++ b/src/router/ration_office.h
@@ -12,18 +12,19 @@
 #include "config/config.h"
 #include "peers/peers.h"
 #include "rations/office.h"
-#include "stage/decision.h"
-#include "stage/rationing.h"
+#include "stage/balancer_driver.h"
+#include "stage/quota_check.h"
 
 namespace peatbend::net {
 
-class RationOffice : public Rationing {
+class RationOffice : public QuotaCheck {
  public:
   // Speaks through `peers`, which lives until Hush or the end of this; `decision` outlives it.
-  RationOffice(event_base* base, const Config& config, peers::Peers& peers, Decision& decision, Log& log);
+  RationOffice(event_base* base, const Config& config, peers::Peers& peers, BalancerDriver& decision,
+               Log& log);
   ~RationOffice() override;
 
-  void Judge(const Request& request, RequestEvent& event) override;
+  void Check(const Request& request, RequestEvent& event) override;
   // Nobody can be reached from now on: what is in hand may still be used.
   void Hush();
   // The book as a configuration that was read anew has it.
@@ -41,7 +42,7 @@
 
   const Settings& settings_;
   peers::Peers* peers_;  // null: hushed
-  Decision& decision_;
+  BalancerDriver& decision_;
   Log& log_;
   failover::ReplicaSet seats_;
   std::uint64_t print_;  // of the seats and their addresses
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -206,7 +206,7 @@
     publications_->AgreeBooks(running_, [this](auto book) { rations_->SetBook(std::move(book)); });
   if (publications_ && !running_.subjects.empty()) {
     schemas_.emplace(base_, running_.settings, running_.subjects, *publications_, log_);
-    decision_.Publish(&*schemas_);
+    decision_.SetPayloadCheck(&*schemas_);
   }
   if (running_.overload.on) overload_.emplace(base_, running_, *peers_, decision_, log_);
 }
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -26,7 +26,7 @@
 #include "router/ration_office.h"
 #include "router/schema_office.h"
 #include "router/work_in_hand.h"
-#include "stage/decision.h"
+#include "stage/balancer_driver.h"
 
 namespace peatbend::net {
 
@@ -96,7 +96,7 @@
   SocketBudget sockets_;
   MemoryBudget memory_;
   MemberConnections connections_;
-  Decision decision_;
+  BalancerDriver decision_;
   DiscoveryWatch discovery_watch_;
   handover::Successor successor_;
   Listener listener_;
--- a/src/router/schema_office.cpp
+++ b/src/router/schema_office.cpp
@@ -92,7 +92,7 @@
 
 // ---- Requests -----------------------------------------------------------------------------------------
 
-void SchemaOffice::Judge(const Request& request, RequestEvent& event) {
+void SchemaOffice::Check(const Request& request, RequestEvent& event) {
   int place = covers_.Of(request.cls, request.tenant);
   if (place < 0) return;
   Refresh();
--- a/src/router/schema_office.h
+++ b/src/router/schema_office.h
@@ -14,18 +14,18 @@
 #include "compat/covers.h"
 #include "compat/published.h"
 #include "peatbend/balancer.h"
-#include "stage/publishing.h"
+#include "stage/payload_check.h"
 
 namespace peatbend::net {
 
-class SchemaOffice : public Publishing {
+class SchemaOffice : public PayloadCheck {
  public:
   // `published` lives until Hush or the end of this; of what it was asked to bring it tells nothing after
   // that. `settings` and `log` outlive this.
   SchemaOffice(event_base* base, const Settings& settings, std::vector<compat::Covering> subjects,
                compat::Published& published, Log& log);
 
-  void Judge(const Request& request, RequestEvent& event) override;
+  void Check(const Request& request, RequestEvent& event) override;
   // An operator's word: the schemas as a configuration that was read anew has them, also those that were
   // refused before. Whether the subjects are otherwise those of the start; else these stay.
   bool Propose(const std::vector<compat::Covering>& subjects);
--- a/src/router/work_in_hand.cpp
+++ b/src/router/work_in_hand.cpp
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-WorkInHand::WorkInHand(event_base* base, const Config& config, peers::Peers& peers, Decision& decision,
+WorkInHand::WorkInHand(event_base* base, const Config& config, peers::Peers& peers, BalancerDriver& decision,
                        Log& log)
     : settings_(config.settings),
       peers_(peers),
@@ -50,7 +50,7 @@
       }) {
   peers_.OnCargo(peers::Peers::Lane::kWork,
                  [this](const std::string& from, const std::string& bytes) { Arrived(from, bytes); });
-  decision_.Keep(this);
+  decision_.SetOperationTracker(this);
   log_.Line("failover", fmt::format("records at three of {} replicas", manager_.replica_set().all().size()));
   Flush();
 }
@@ -60,7 +60,7 @@
   peers_.OnCargo(peers::Peers::Lane::kWork, {});
   manager_.ContinueUntracked(peers::Peers::Now());
   Flush();
-  decision_.Keep(nullptr);
+  decision_.SetOperationTracker(nullptr);
 }
 
 bool WorkInHand::Tracks(const Request& request) const {
@@ -80,30 +80,30 @@
   return fmt::format("h|{:016x}{:016x}", hash.high64, hash.low64);
 }
 
-void WorkInHand::Opened(RequestId id, const Request& request, Duration left) {
+void WorkInHand::StartTracking(RequestId id, const Request& request, Duration left) {
   failover::Time now = peers::Peers::Now();
   manager_.SetLife(peers_.life());
   manager_.Open(now, static_cast<failover::OwnershipManager::Number>(id), NameOf(request),
                 settings_.classes[static_cast<std::size_t>(request.cls)], now + left);
 }
 
-void WorkInHand::Want(RequestId id, const std::string& member) {
+void WorkInHand::RequestSendPermit(RequestId id, const std::string& member) {
   manager_.Want(peers::Peers::Now(), static_cast<failover::OwnershipManager::Number>(id), member);
   Flush();
 }
 
-void WorkInHand::FlowEnded(RequestId id, bool may_have_run) {
+void WorkInHand::OnAttemptEnded(RequestId id, bool may_have_run) {
   manager_.Ended(peers::Peers::Now(), static_cast<failover::OwnershipManager::Number>(id), may_have_run);
   Flush();
 }
 
-void WorkInHand::Finish(RequestId id, OperationOutcome end, std::string value) {
+void WorkInHand::RecordOutcome(RequestId id, OperationOutcome end, std::string value) {
   manager_.Finish(peers::Peers::Now(), static_cast<failover::OwnershipManager::Number>(id), end,
                   std::move(value));
   Flush();
 }
 
-void WorkInHand::Left(RequestId id) {
+void WorkInHand::StopTracking(RequestId id) {
   manager_.Left(peers::Peers::Now(), static_cast<failover::OwnershipManager::Number>(id));
   Flush();
 }
@@ -146,13 +146,13 @@
   for (failover::OwnershipManager::Result& result : manager_.DrainResults()) {
     RequestId id{result.number};
     if (result.what == failover::OwnershipManager::Result::What::kSend) {
-      decision_.MaySend(id);
+      decision_.PermitSend(id);
       continue;
     }
     if (result.no_quorum)
       log_.Line("failover no quorum", "no two of the three replicas of a record can be reached");
-    decision_.Close(id, result.outcome, std::move(result.value),
-                    result.no_quorum ? kAloneComeBack : Duration{});
+    decision_.CompleteRequest(id, result.outcome, std::move(result.value),
+                              result.no_quorum ? kAloneComeBack : Duration{});
   }
   if (auto due = manager_.Due()) tick_.Set(std::max(*due - peers::Peers::Now(), failover::Span{}));
 }
--- a/src/router/work_in_hand.h
+++ b/src/router/work_in_hand.h
@@ -12,23 +12,23 @@
 #include "config/config.h"
 #include "failover/ownership_manager.h"
 #include "peers/peers.h"
-#include "stage/decision.h"
-#include "stage/keeping.h"
+#include "stage/balancer_driver.h"
+#include "stage/operation_tracker.h"
 
 namespace peatbend::net {
 
-class WorkInHand : public Keeping {
+class WorkInHand : public OperationTracker {
  public:
   // Speaks through `peers`, which outlives it.
-  WorkInHand(event_base* base, const Config& config, peers::Peers& peers, Decision& decision, Log& log);
+  WorkInHand(event_base* base, const Config& config, peers::Peers& peers, BalancerDriver& decision, Log& log);
   ~WorkInHand() override;
 
   bool Tracks(const Request& request) const override;
-  void Opened(RequestId id, const Request& request, Duration left) override;
-  void Want(RequestId id, const std::string& member) override;
-  void FlowEnded(RequestId id, bool may_have_run) override;
-  void Finish(RequestId id, OperationOutcome end, std::string value) override;
-  void Left(RequestId id) override;
+  void StartTracking(RequestId id, const Request& request, Duration left) override;
+  void RequestSendPermit(RequestId id, const std::string& member) override;
+  void OnAttemptEnded(RequestId id, bool may_have_run) override;
+  void RecordOutcome(RequestId id, OperationOutcome end, std::string value) override;
+  void StopTracking(RequestId id) override;
 
   // The program's figures of it, names without a prefix.
   std::vector<std::pair<std::string, std::uint64_t>> Figures() const;
@@ -41,7 +41,7 @@
 
   const Settings& settings_;
   peers::Peers& peers_;
-  Decision& decision_;
+  BalancerDriver& decision_;
   Log& log_;
   failover::OwnershipManager manager_;
   std::uint64_t dropped_ = 0, sent_ = 0, bytes_ = 0, unreached_ = 0;
--- /dev/null
+++ b/src/stage/balancer_driver_actions.cpp
@@ -0,0 +1,101 @@
+// Execution of the balancer's actions.
+#include <algorithm>
+#include <utility>
+
+#include "stage/balancer_driver.h"
+
+namespace peatbend::net {
+
+void BalancerDriver::Execute(const Send& send) {
+  Transaction* transaction = Find(send.id);
+  if (transaction == nullptr) return ReportNeverSent(send.id, 0, send.server.name);
+  auto& attempts = transaction->attempts();
+  int attempt = static_cast<int>(attempts.size());
+  attempts.push_back(
+      std::make_unique<ServerAttempt>(*this, base_, clock_, send.id, attempt, send.server.name));
+  ++transaction->unreported_attempts;
+  if (transaction->closed() || transaction->deadline() <= clock_.Now() || attempt >= settings_.try_limit) {
+    ++counters_.outcomes[static_cast<std::size_t>(Result::kNeverSent)];
+    return ReportNeverSent(send.id, attempt, send.server.name);
+  }
+  TimePoint begin_by = transaction->BeginBy(clock_.Now(), send.begin_within);
+  if (!transaction->tracked) return StartAttempt(*transaction, attempt, send.give_up_after, begin_by);
+  transaction->held_attempt = attempt;  // until the operation tracker permits it
+  transaction->held_limit = send.give_up_after;
+  transaction->held_begin_by = begin_by;
+  operation_tracker_->RequestSendPermit(send.id, send.server.name);
+}
+
+void BalancerDriver::StartAttempt(Transaction& transaction, int attempt, Duration give_up_after,
+                                  TimePoint begin_by) {
+  Duration left = transaction.deadline() - clock_.Now();
+  Duration limit = give_up_after == Duration::zero() ? left : std::min(left, give_up_after);
+  if (overload_control_ != nullptr)
+    overload_control_->OnSend(transaction.attempts()[static_cast<std::size_t>(attempt)]->member());
+  auto& server_attempt = *transaction.attempts()[static_cast<std::size_t>(attempt)];
+  server_attempt.Start(connections_, transaction.request(), limit, begin_by);
+}
+
+void BalancerDriver::ReportNeverSent(RequestId id, int attempt, const std::string& member) {
+  FlowReply reply;
+  reply.result = Result::kNeverSent;
+  Enqueue(AttemptEnded{id, attempt, member, std::move(reply), {}});
+}
+
+void BalancerDriver::Execute(const Refuse& refuse) {
+  Transaction* transaction = Find(refuse.id);
+  if (transaction != nullptr) Finish(*transaction, OperationOutcome::kRejected, refuse.backoff);
+}
+
+void BalancerDriver::Execute(const Fail& fail) {
+  Transaction* transaction = Find(fail.id);
+  if (transaction != nullptr) Finish(*transaction, OperationOutcome::kFailed, {});
+}
+
+void BalancerDriver::Finish(Transaction& transaction, OperationOutcome outcome, Duration come_back) {
+  if (!transaction.tracked || transaction.finished()) return SendFinalAnswer(transaction, outcome, come_back);
+  transaction.ending = true;
+  transaction.CancelUnstarted();
+  transaction.come_back = come_back;
+  operation_tracker_->RecordOutcome(transaction.id(), outcome, {});
+}
+
+void BalancerDriver::SendFinalAnswer(Transaction& transaction, OperationOutcome outcome, Duration come_back) {
+  if (outcome == OperationOutcome::kRejected) {
+    transaction.Reject(std::min(come_back, settings_.max_retry_after));
+  } else {
+    transaction.Fail();
+  }
+  EraseIfFinished(transaction.id());
+}
+
+void BalancerDriver::DropHeldAttempt(Transaction& transaction) {
+  if (transaction.held_attempt < 0) return;
+  int attempt = std::exchange(transaction.held_attempt, -1);
+  ++counters_.outcomes[static_cast<std::size_t>(Result::kNeverSent)];
+  ReportNeverSent(transaction.id(), attempt,
+                  transaction.attempts()[static_cast<std::size_t>(attempt)]->member());
+}
+
+void BalancerDriver::Execute(const Cancel& cancel) {
+  Transaction* transaction = Find(cancel.id);
+  auto attempt = static_cast<std::size_t>(cancel.attempt);
+  if (transaction == nullptr || attempt >= transaction->attempts().size()) return;
+  if (transaction->held_attempt == cancel.attempt) return DropHeldAttempt(*transaction);
+  if (transaction->active_stream() == cancel.attempt) return;  // the client is already receiving its value
+  if (ServerAttempt* server_attempt = transaction->attempts()[attempt].get()) server_attempt->Cancel();
+}
+
+void BalancerDriver::Execute(const SetTimer& timer) { timers_.emplace(clock_.Now() + timer.in, timer.mark); }
+
+void BalancerDriver::Execute(const Subscribe&) { watch_discovery_(); }
+
+void BalancerDriver::Execute(const Release& release) { connections_.CloseIdle(release.server.name); }
+
+void BalancerDriver::Execute(const peatbend::Log& line) { log_.Line("module", line.text); }
+
+void BalancerDriver::Execute(const Trial& trial) {
+  if (overload_control_ != nullptr) overload_control_->OnTrial(trial);
+}
+
+}  // namespace peatbend::net
--- /dev/null
+++ b/src/stage/server_attempt.cpp
@@ -0,0 +1,92 @@
+#include "stage/server_attempt.h"
+
+#include "member/member_connections.h"
+
+namespace peatbend::net {
+namespace {
+constexpr std::chrono::seconds kStreamTimeout{6};  // without a byte of a value that has started
+}  // namespace
+
+ServerAttempt::~ServerAttempt() {
+  if (connection_ != nullptr) connection_->Abandon();
+}
+
+void ServerAttempt::Start(MemberConnections& connections, const Request& request, Duration limit,
+                          TimePoint begin_by) {
+  started_ = clock_.Now();
+  if (limit <= Duration::zero() || started_ > begin_by) return EndWithResult(Result::kNeverSent);
+  connections_ = &connections;
+  connection_ = connections.Begin(*this, request, {.deadline = started_ + limit, .begin_by = begin_by});
+  if (connection_ == nullptr) return EndWithResult(Result::kNoConn);
+  timeout_.Set(limit);
+}
+
+bool ServerAttempt::Began(std::size_t length) {
+  stream_started_ = clock_.Now();
+  if (!owner_.OnStreamStarted(*this, length)) return Cancel(), false;
+  timeout_.Set(kStreamTimeout);
+  return true;
+}
+
+bool ServerAttempt::Piece(evbuffer* bytes, bool& gone) {
+  switch (owner_.OnStreamChunk(*this, bytes)) {
+    case AttemptOwner::Next::kContinue:
+      timeout_.Set(kStreamTimeout);
+      return true;
+    case AttemptOwner::Next::kPause:
+      timeout_.Stop();
+      return false;
+    case AttemptOwner::Next::kCancel:
+      break;
+  }
+  gone = true;
+  Cancel();
+  return false;
+}
+
+void ServerAttempt::ResumeStream() {
+  if (ended_ || connection_ == nullptr) return;
+  timeout_.Set(kStreamTimeout);
+  connection_->Resume();
+}
+
+void ServerAttempt::Cancel() {
+  if (ended_) return;
+  Result result = dialling() ? Result::kNeverSent : Result::kCancelled;
+  AbandonConnection();
+  EndWithResult(result);
+}
+
+bool ServerAttempt::dialling() const { return connection_ != nullptr && !connection_->begun(); }
+
+// A request that has not been written completely has not run; the balancer treats it as a failed connection.
+// If a written request gets no answer, the member may have died without closing its connections, which TCP
+// does not report. Its idle connections are closed then, so that the next attempt dials and fails early.
+void ServerAttempt::OnTimeout() {
+  bool written = AbandonConnection();
+  if (written) connections_->CloseIdle(member_);
+  EndWithResult(written ? Result::kLate : Result::kNoConn);
+}
+
+// Closes the connection, which tells the member that the answer is no longer wanted. Returns whether the
+// request was written completely.
+bool ServerAttempt::AbandonConnection() {
+  bool written = connection_->written();
+  std::exchange(connection_, nullptr)->Abandon();
+  return written;
+}
+
+void ServerAttempt::EndWithResult(Result result) {
+  FlowReply reply;
+  reply.result = result;
+  End(std::move(reply));
+}
+
+void ServerAttempt::End(FlowReply reply) {
+  if (std::exchange(ended_, true)) return;
+  connection_ = nullptr;
+  timeout_.Stop();
+  owner_.OnAttemptEnded(*this, std::move(reply));
+}
+
+}  // namespace peatbend::net
--- /dev/null
+++ b/src/stage/server_attempt.h
@@ -0,0 +1,90 @@
+// One attempt at a server, from the balancer's Send to its single outcome.
+#pragma once
+
+#include <string>
+
+#include "base/clock.h"
+#include "base/event_handles.h"
+#include "member/attempt.h"
+#include "protocol/request.h"
+
+namespace peatbend::net {
+
+class MemberConnection;
+class MemberConnections;
+class ServerAttempt;
+
+class AttemptOwner {
+ public:
+  virtual ~AttemptOwner() = default;
+  // Called once per attempt, possibly from within Start or Cancel. The attempt must not be destroyed by the
+  // call.
+  virtual void OnAttemptEnded(ServerAttempt& attempt, FlowReply reply) = 0;
+  // The first bytes of a large value have arrived. Returns false if the value is not wanted.
+  virtual bool OnStreamStarted(ServerAttempt& attempt, std::size_t length) = 0;
+  enum class Next { kContinue, kPause, kCancel };
+  virtual Next OnStreamChunk(ServerAttempt& attempt, evbuffer* bytes) = 0;
+};
+
+class ServerAttempt : public Attempt {
+ public:
+  ServerAttempt(AttemptOwner& owner, event_base* base, const Clock& clock, RequestId id, int number,
+                std::string member)
+      : owner_(owner),
+        clock_(clock),
+        id_(id),
+        number_(number),
+        member_(std::move(member)),
+        timeout_(base, [this] { OnTimeout(); }) {}
+  ~ServerAttempt() override;
+
+  // Sends the request and waits up to `limit` for the answer. The first byte is written by `begin_by` or not
+  // at all.
+  void Start(MemberConnections& connections, const Request& request, Duration limit,
+             TimePoint begin_by = TimePoint::max());
+  // Ends the attempt. The outcome is kNeverSent if nothing was written yet.
+  void Cancel();
+  // Whether it waits for its connection to be established, so that nothing has been written.
+  bool dialling() const;
+  // Whether it has a connection to its server, established or dialling.
+  bool has_connection() const { return connection_ != nullptr; }
+
+  // Continues a large value after Next::kPause.
+  void ResumeStream();
+
+  bool Began(std::size_t length) override;
+  bool Piece(evbuffer* bytes, bool& gone) override;
+  // Called by the connection, which has released the attempt before.
+  void Answered(FlowReply reply) override { End(std::move(reply)); }
+  void Broken(bool written) override { EndWithResult(written ? Result::kReset : Result::kNoConn); }
+  void TooLate() override { EndWithResult(Result::kNeverSent); }
+
+  RequestId id() const { return id_; }
+  // The number of the attempt within its request, from 0.
+  int number() const { return number_; }
+  const std::string& member() const override { return member_; }
+  // Time from the start to the answer, or to its first bytes if it is streamed.
+  Duration elapsed() const {
+    return (stream_started_ == TimePoint{} ? clock_.Now() : stream_started_) - started_;
+  }
+  bool ended() const { return ended_; }
+
+ private:
+  void OnTimeout();
+  bool AbandonConnection();
+  void EndWithResult(Result result);
+  void End(FlowReply reply);
+
+  AttemptOwner& owner_;
+  const Clock& clock_;
+  RequestId id_;
+  int number_;
+  std::string member_;
+  TimePoint started_{}, stream_started_{};
+  MemberConnections* connections_ = nullptr;
+  MemberConnection* connection_ = nullptr;
+  bool ended_ = false;
+  Timer timeout_;
+};
+
+}  // namespace peatbend::net
--- a/src/stage/transaction.cpp
+++ b/src/stage/transaction.cpp
@@ -5,58 +5,61 @@
 
 namespace peatbend::net {
 
-Counters::PerClass& Transaction::PerClass() {
+Counters::PerClass& Transaction::class_counters() {
   return counters_.classes[static_cast<std::size_t>(request_->cls)];
 }
 
 void Transaction::Serve(evbuffer* value) {
-  if (AnswerSink* client = Answer()) {
-    ++PerClass().served;
-    fate_ = Fate::kServed;
-    client->Serve(place_, value);
+  if (AnswerSink* client = TakeClient()) {
+    ++class_counters().served;
+    outcome_ = Outcome::kServed;
+    client->Serve(position_, value);
   }
 }
 
 void Transaction::Reject(Duration come_back) {
-  if (AnswerSink* client = Answer()) {
-    ++PerClass().rejected;
-    fate_ = Fate::kRejected;
-    client->Reject(place_, come_back);
+  if (AnswerSink* client = TakeClient()) {
+    ++class_counters().rejected;
+    outcome_ = Outcome::kRejected;
+    client->Reject(position_, come_back);
   }
 }
 
 void Transaction::Fail() {
-  if (AnswerSink* client = Answer()) {
-    ++PerClass().failed;
-    client->Fail(place_);
+  if (AnswerSink* client = TakeClient()) {
+    ++class_counters().failed;
+    client->Fail(position_);
   }
 }
 
-AnswerSink* Transaction::Answer() { return streams_ >= 0 ? nullptr : std::exchange(client_, nullptr); }
+AnswerSink* Transaction::TakeClient() {
+  return stream_attempt_ >= 0 ? nullptr : std::exchange(client_, nullptr);
+}
 
-bool Transaction::Begin(int attempt, std::size_t length) {
-  if (client_ == nullptr || streams_ >= 0) return false;
-  streams_ = attempt;
-  client_->BeginValue(place_, length);
+bool Transaction::BeginStream(int attempt, std::size_t length) {
+  if (client_ == nullptr || stream_attempt_ >= 0) return false;
+  stream_attempt_ = attempt;
+  client_->BeginValue(position_, length);
   return true;
 }
 
-void Transaction::EndValue(bool whole) {
+void Transaction::EndStream(bool complete) {
   AnswerSink* client = std::exchange(client_, nullptr);
   if (client == nullptr) return;
-  whole ? ++PerClass().served : ++PerClass().failed;
-  fate_ = whole ? Fate::kServed : Fate::kLost;
-  client->EndValue(place_, whole);
+  complete ? ++class_counters().served : ++class_counters().failed;
+  outcome_ = complete ? Outcome::kServed : Outcome::kLost;
+  client->EndValue(position_, complete);
 }
 
 bool Transaction::waits_for_server() const {
   if (closed()) return false;
-  return std::ranges::none_of(flows_, [](const auto& flow) { return flow && flow->has_connection(); });
+  return std::ranges::none_of(attempts_,
+                              [](const auto& attempt) { return attempt && attempt->has_connection(); });
 }
 
-void Transaction::GiveUpUnbegun() {
-  for (auto& flow : flows_) {
-    if (flow && flow->dialling()) flow->Cancel();
+void Transaction::CancelUnstarted() {
+  for (auto& attempt : attempts_) {
+    if (attempt && attempt->dialling()) attempt->Cancel();
   }
 }
 
--- a/src/stage/transaction.h
+++ b/src/stage/transaction.h
@@ -1,4 +1,4 @@
-// One request, from taken to its single final answer.
+// A request from its admission to its single final answer.
 #pragma once
 
 #include <memory>
@@ -6,80 +6,82 @@
 
 #include "base/counters.h"
 #include "protocol/request.h"
-#include "stage/server_side_flow.h"
+#include "stage/server_attempt.h"
 
 namespace peatbend::net {
 
 class Transaction {
  public:
-  Transaction(RequestId id, std::unique_ptr<Request> request, AnswerSink& client, std::uint64_t place,
+  // `position`: of the request's command on the client's connection.
+  Transaction(RequestId id, std::unique_ptr<Request> request, AnswerSink& client, std::uint64_t position,
               TimePoint deadline, Counters& counters)
       : id_(id),
         request_(std::move(request)),
         client_(&client),
-        place_(place),
+        position_(position),
         deadline_(deadline),
         counters_(counters) {}
 
-  // The first of these ends it; the others then do nothing.
+  // The first call of these ends the transaction; later calls have no effect.
   void Serve(evbuffer* value);
   void Reject(Duration come_back);
   void Fail();
   void ClientLeft();
-  // A large value: from Begin on the transaction is this attempt's, and only EndValue ends it, or the client.
-  // False: it has ended, or is another's.
-  bool Begin(int attempt, std::size_t length);
-  bool Piece(evbuffer* bytes) { return client_->AppendChunk(place_, bytes); }
-  void EndValue(bool whole);
-  // The attempt whose value was being passed on when the client left; -1: none.
-  int left_at() const { return client_ == nullptr ? streams_ : -1; }
-  // The attempt whose value is being passed on; -1: none.
-  int streams() const { return client_ == nullptr ? -1 : streams_; }
+  // Starts streaming the value of an attempt. From then on only EndStream or ClientLeft ends the transaction.
+  // Returns false if it has ended or streams the value of another attempt.
+  bool BeginStream(int attempt, std::size_t length);
+  bool AppendChunk(evbuffer* bytes) { return client_->AppendChunk(position_, bytes); }
+  void EndStream(bool complete);
+  // The attempt whose value was being streamed when the client left; -1: none.
+  int abandoned_stream() const { return client_ == nullptr ? stream_attempt_ : -1; }
+  // The attempt whose value is being streamed; -1: none.
+  int active_stream() const { return client_ == nullptr ? -1 : stream_attempt_; }
 
   bool finished() const { return client_ == nullptr; }
-  // Whether no attempt may begin any more: it is finished, or about to be, or one brings its value.
-  bool closed() const { return finished() || ending || streams_ >= 0; }
-  // Whether it has no connection to a server, and an attempt may still need one.
+  // Whether no further attempt may start: the transaction is finished or about to be, or streams a value.
+  bool closed() const { return finished() || ending || stream_attempt_ >= 0; }
+  // Whether it has no connection to a server, and may still need one.
   bool waits_for_server() const;
-  // The latest time at which an attempt may begin that must begin `within` so long; max(): whenever it can.
+  // The latest time to begin an attempt that must begin `within` this duration; max() if that is not before
+  // the deadline.
   TimePoint BeginBy(TimePoint now, Duration within) const {
     return within < deadline_ - now ? now + within : TimePoint::max();
   }
-  // Ends the attempts that have not begun.
-  void GiveUpUnbegun();
-  // kLost: it failed, or its client left.
-  enum class Fate { kServed, kRejected, kLost };
-  Fate fate() const { return fate_; }  // once it has ended
+  // Cancels the attempts that have not written anything yet.
+  void CancelUnstarted();
+  // kLost: failed, or the client left.
+  enum class Outcome { kServed, kRejected, kLost };
+  Outcome outcome() const { return outcome_; }  // valid once finished
   RequestId id() const { return id_; }
   const Request& request() const { return *request_; }
   TimePoint deadline() const { return deadline_; }
 
-  // Flows, by the number of the attempt; one that has ended and been told of is null.
-  std::vector<std::unique_ptr<ServerSideFlow>>& flows() { return flows_; }
-  int open_flows = 0;  // whose outcome the module has not had
+  // Indexed by the number of the attempt; null once its outcome has been reported to the balancer.
+  std::vector<std::unique_ptr<ServerAttempt>>& attempts() { return attempts_; }
+  int unreported_attempts = 0;  // whose outcome has not been reported to the balancer
 
-  std::uint64_t work = 0;  // where overload is watched, and its end has not been told there
+  std::uint64_t work = 0;  // as returned by OverloadControl::Admit; 0 once its end has been reported there
 
-  // Where work in hand is kept: its record is asked before it is sent and answered.
+  // State of requests that an OperationTracker tracks.
   bool tracked = false;
-  bool ending = false;  // the module has done with it; its end is being recorded
-  int held = -1;        // the attempt that waits for the record
+  bool ending = false;    // the balancer has ended the request, and the outcome is being recorded
+  int held_attempt = -1;  // waits for a send permit; -1: none
   Duration held_limit{}, come_back{};
   TimePoint held_begin_by = TimePoint::max();
 
  private:
-  Counters::PerClass& PerClass();
-  // Whom to tell the one answer; null if it was told, or a value is being passed on.
-  AnswerSink* Answer();
+  Counters::PerClass& class_counters();
+  // The client, for the one answer; null if it was answered or a value is being streamed.
+  AnswerSink* TakeClient();
   RequestId id_;
   std::unique_ptr<Request> request_;
   AnswerSink* client_;  // null once answered
-  std::uint64_t place_;
-  int streams_ = -1;
-  Fate fate_ = Fate::kLost;
+  std::uint64_t position_;
+  int stream_attempt_ = -1;
+  Outcome outcome_ = Outcome::kLost;
   TimePoint deadline_;
   Counters& counters_;
-  std::vector<std::unique_ptr<ServerSideFlow>> flows_;
+  std::vector<std::unique_ptr<ServerAttempt>> attempts_;
 };
 
 }  // namespace peatbend::net
--- a/tests/net/begin_by_test.cpp
+++ b/tests/net/begin_by_test.cpp
@@ -1,52 +1,52 @@
-// The latest time at which an attempt may begin, on connections that come up late.
+// The latest time at which an attempt may begin, on connections that are established with a delay.
 #include <chrono>
 
-#include "net/flows_stage.h"
-#include "net/late_port.h"
+#include "net/attempt_fixture.h"
+#include "net/delayed_port.h"
 
 namespace peatbend::net::test {
 namespace {
 
-constexpr std::chrono::milliseconds kAtOnce{50}, kLongEnough{1900};
+constexpr std::chrono::milliseconds kTooShort{50}, kLongEnough{1900};
 
-struct LateFlows : Flows {
-  LateFlows() { Serve(late.port); }
-  LatePort late{stage.base.get(), Stage::Says(Value("x"))};
+struct DelayedAttemptFixture : AttemptFixture {
+  DelayedAttemptFixture() { SetServer(server.port); }
+  DelayedPort server{stage.base.get(), Stage::Says(Value("x"))};
 };
 
-// The figure for its server tells nothing of that server: the attempt had too little time.
-TEST_CASE("begin by: an attempt whose connection is not up by then is given up, and never ran") {
-  LateFlows flows;
-  flows.Start(kAtOnce);
-  flows.UntilItsOutcome();
-  CHECK(flows.outcome == Result::kNeverSent);
-  CHECK(flows.counters.dials == 1);
-  flows.late.Open();
-  End& later = flows.stage.clients.emplace_back(flows.stage.base.get(), -1);
-  later.Connect(flows.late.port);
+// The outcome must not count against the server, since the attempt had too little time.
+TEST_CASE("begin by: an attempt whose connection is not established in time is given up unsent") {
+  DelayedAttemptFixture fixture;
+  fixture.Start(kTooShort);
+  fixture.WaitForOutcome();
+  CHECK(fixture.outcome == Result::kNeverSent);
+  CHECK(fixture.counters.dials == 1);
+  fixture.server.Open();
+  End& later = fixture.stage.clients.emplace_back(fixture.stage.base.get(), -1);
+  later.Connect(fixture.server.port);
   later.Say("later");
-  flows.stage.Until([&] { return flows.late.Count("later") == 1; });
-  CHECK(flows.late.Count("OBJ.GET") == 0);
-  CHECK(flows.counters.dispatches == 0);
-  CHECK(flows.ends == 1);
+  fixture.stage.Until([&] { return fixture.server.Count("later") == 1; });
+  CHECK(fixture.server.Count("OBJ.GET") == 0);
+  CHECK(fixture.counters.dispatches == 0);
+  CHECK(fixture.outcomes == 1);
 }
 
-TEST_CASE("begin by: an attempt whose connection comes up in time begins") {
-  LateFlows flows;
-  flows.Start(kLongEnough);
-  flows.late.Open();
-  flows.UntilItsOutcome();
-  CHECK(flows.outcome == Result::kGood);
-  CHECK(flows.late.Count("OBJ.GET") == 1);
+TEST_CASE("begin by: an attempt whose connection is established in time is sent") {
+  DelayedAttemptFixture fixture;
+  fixture.Start(kLongEnough);
+  fixture.server.Open();
+  fixture.WaitForOutcome();
+  CHECK(fixture.outcome == Result::kGood);
+  CHECK(fixture.server.Count("OBJ.GET") == 1);
 }
 
-TEST_CASE("begin by: an attempt that starts too late is not even dialled") {
-  LateFlows flows;
-  flows.Start(-kAtOnce);
-  flows.UntilItsOutcome();
-  CHECK(flows.outcome == Result::kNeverSent);
-  CHECK(flows.counters.dials == 0);
-  CHECK(flows.ends == 1);
+TEST_CASE("begin by: an attempt that starts too late does not dial") {
+  DelayedAttemptFixture fixture;
+  fixture.Start(-kTooShort);
+  fixture.WaitForOutcome();
+  CHECK(fixture.outcome == Result::kNeverSent);
+  CHECK(fixture.counters.dials == 0);
+  CHECK(fixture.outcomes == 1);
 }
 
 }  // namespace
--- a/tests/net/broken_answers_test.cpp
+++ b/tests/net/broken_answers_test.cpp
@@ -2,7 +2,7 @@
 #include <functional>
 #include <string>
 
-#include "net/flows_stage.h"
+#include "net/attempt_fixture.h"
 #include "net/raw_server.h"
 #include "net/rules_stage.h"
 
@@ -217,16 +217,16 @@
 // The system has accepted the connection, and the server is killed before anything was written to it.
 TEST_CASE("broken off: a connection reset before the request is written is an attempt that never ran") {
   RawServer server;
-  Flows flows;
-  flows.Serve(server.port);
+  AttemptFixture flows;
+  flows.SetServer(server.port);
   flows.Start();
   REQUIRE(server.Accepted());  // within the call on loopback; the loop has not run since
   server.Reset();
-  flows.UntilItsOutcome();
+  flows.WaitForOutcome();
   CHECK(flows.outcome == Result::kNoConn);
   CHECK(flows.counters.dispatches == 0);
   flows.stage.Rest();
-  CHECK(flows.ends == 1);
+  CHECK(flows.outcomes == 1);
 }
 
 // The system turns some addresses down at once, within the call.
@@ -248,15 +248,15 @@
   using std::chrono::steady_clock;
   constexpr std::chrono::milliseconds kTurn{40}, kLimit{100};
   RawServer server;
-  Flows flows;
-  flows.Serve(server.port);
+  AttemptFixture flows;
+  flows.SetServer(server.port);
   Timer turn(flows.stage.base.get(), [&] {
     for (auto until = steady_clock::now() + kTurn; steady_clock::now() < until;) {
     }
-    flows.Start(kFlowWaits, kLimit);
+    flows.Start(kAttemptTimeout, kLimit);
   });
   turn.Activate();
-  flows.UntilItsOutcome();
+  flows.WaitForOutcome();
   CHECK(flows.outcome == Result::kLate);
   CHECK(flows.elapsed >= kLimit);
 }
--- a/tests/net/late_port.h
+++ b/tests/net/delayed_port.h
@@ -1,4 +1,4 @@
-// A port whose connections come up late, on loopback and every time.
+// A loopback port whose connections are always established with a delay.
 #pragma once
 
 #include <poll.h>
@@ -14,12 +14,12 @@
 
 namespace peatbend::net::test {
 
-// Its queue of connections not yet accepted holds one and is full, so the system drops what else asks to
-// connect. What has asked asks again no sooner than a second later (RFC 6298: the first retransmission of a
-// SYN), and comes up then if the port is open by that time.
-class LatePort {
+// Its accept queue has room for one connection and is full, so the kernel drops the SYNs of further
+// connections. They are retransmitted after a second at the earliest (RFC 6298), and the connection is
+// established then if the port is open.
+class DelayedPort {
  public:
-  explicit LatePort(event_base* base, std::function<void(End&)> on_read = {})
+  explicit DelayedPort(event_base* base, std::function<void(End&)> on_read = {})
       : base_(base), on_read_(std::move(on_read)) {
     socket_ = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     sockaddr_in any = Loopback(0);
@@ -31,21 +31,21 @@
     filler_ = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     REQUIRE(connect(filler_, reinterpret_cast<sockaddr*>(&any), sizeof any) == 0);
     pollfd waits{socket_, POLLIN, 0};
-    REQUIRE(poll(&waits, 1, kFillWithinMs) == 1);  // the filler stands in the queue
+    REQUIRE(poll(&waits, 1, kFillWithinMs) == 1);  // the filler is in the accept queue
   }
-  ~LatePort() {
+  ~DelayedPort() {
     close(filler_);
     if (!listener_) close(socket_);
   }
-  LatePort(const LatePort&) = delete;
-  LatePort& operator=(const LatePort&) = delete;
+  DelayedPort(const DelayedPort&) = delete;
+  DelayedPort& operator=(const DelayedPort&) = delete;
 
-  // From now on connections are accepted.
+  // Accepts connections from now on.
   void Open() {
     listener_.reset(evconnlistener_new(
         base_,
         [](evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* self) {
-          auto* port = static_cast<LatePort*>(self);
+          auto* port = static_cast<DelayedPort*>(self);
           port->ends.emplace_back(port->base_, socket).on_read = port->on_read_;
         },
         this, LEV_OPT_CLOSE_ON_FREE, kOpenBacklog, socket_));
@@ -57,7 +57,7 @@
   }
 
   int port = 0;
-  std::list<End> ends;  // the filler's among them
+  std::list<End> ends;  // including the filler's
 
  private:
   static constexpr int kFillWithinMs = 5000, kOpenBacklog = 64;
--- a/tests/net/departures_test.cpp
+++ b/tests/net/departures_test.cpp
@@ -1,4 +1,5 @@
-// Clients that leave while the router does not read from them: what they had waiting is not sent on.
+// Clients that disconnect while the router does not read from them: their waiting requests are not sent to
+// servers.
 #include <sys/socket.h>
 #include <unistd.h>
 
@@ -9,10 +10,10 @@
 namespace peatbend::net::test {
 namespace {
 
-constexpr int kMostOwed = 128;  // answers that a client may run ahead; then it is not read
+constexpr int kMaxPendingAnswers = 128;  // clients.owed: a client with more pending answers is not read
 enum class Leaves { kCloses, kResets };
 
-// A client's socket, to be ended either way.
+// A client socket that can be closed or reset.
 class LeavingClient {
  public:
   LeavingClient(int port, const std::string& text) : socket_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
@@ -35,20 +36,21 @@
   int socket_;
 };
 
-// Guards against attempts for a client that has gone: its requests waited in the module for a place at their
-// server, and its session was not read, since enough was owed.
-void LeavesWhileMuchIsOwed(Leaves how) {
+// Guards against attempts for a client that has left: its requests waited in the balancer for a slot at their
+// server, and its session was not read because too many answers were pending.
+void LeavesWithManyPendingAnswers(Leaves how) {
   Stage stage;
   std::string text;
-  for (int i = 0; i < kMostOwed + 2; ++i) text += Get(std::to_string(1000 + i), "c=read,t=acme,d=2000");
+  for (int i = 0; i < kMaxPendingAnswers + 2; ++i)
+    text += Get(std::to_string(1000 + i), "c=read,t=acme,d=2000");
   LeavingClient client(stage.router.port(), text);
-  stage.Until([&] { return stage.router.counters().requests == kMostOwed; });
+  stage.Until([&] { return stage.router.counters().requests == kMaxPendingAnswers; });
   stage.Until([&] { return stage.member.Count("OBJ.GET") == stage.router.counters().attempts; });
   std::size_t sent = stage.member.Count("OBJ.GET");
   REQUIRE(sent > 0);
-  REQUIRE(sent < kMostOwed);  // the others wait
+  REQUIRE(sent < kMaxPendingAnswers);  // the others wait
   client.Leave(how);
-  stage.Until([&] { return stage.router.counters().requests_abandoned == kMostOwed; });
+  stage.Until([&] { return stage.router.counters().requests_abandoned == kMaxPendingAnswers; });
   for (End& end : stage.member.ends) end.on_read = Stage::Says(Value("x"));
   for (End& end : stage.member.ends) end.Say(Value("x"));
   End& other = stage.Client(Get(kKey, "c=read,t=acme,d=2000"));
@@ -56,23 +58,23 @@
   stage.member.ends.back().Say(Value("x"));
   stage.Until([&] { return other.got == "$1\r\nx\r\n"; });
   CHECK(stage.member.Count("OBJ.GET") == sent + 1);
-  CHECK(stage.router.counters().requests == kMostOwed + 1);  // nor are those taken that it sent last
+  CHECK(stage.router.counters().requests == kMaxPendingAnswers + 1);  // its last commands are dropped
 }
 
-TEST_CASE("departure: a client that closes while much is owed to it is noticed") {
-  LeavesWhileMuchIsOwed(Leaves::kCloses);
+TEST_CASE("departure: a client that closes with many pending answers is noticed") {
+  LeavesWithManyPendingAnswers(Leaves::kCloses);
 }
 
-TEST_CASE("departure: a client that resets its connection while much is owed to it is noticed") {
-  LeavesWhileMuchIsOwed(Leaves::kResets);
+TEST_CASE("departure: a client that resets its connection with many pending answers is noticed") {
+  LeavesWithManyPendingAnswers(Leaves::kResets);
 }
 
-// Guards against work for who has gone already: the client left while the router was busy elsewhere, so that
-// its last command and its end are there together.
-void LeavesBehindItsCommand(Leaves how) {
+// Guards against work for a client that has already left: it sent a command and disconnected while the router
+// was busy, so that both are found by the same read.
+void LeavesRightAfterCommand(Leaves how) {
   Stage stage(Stage::Says(Value("x")));
   LeavingClient client(stage.router.port(), Get(kKey, "c=read,t=acme,d=2000"));
-  client.Leave(how);  // nothing of the router has run since it connected
+  client.Leave(how);  // the router has not run since the client connected
   stage.Until([&] { return stage.router.counters().clients_closed == 1; });
   End& other = stage.Client(Get("1000", "c=read,t=acme,d=2000"));
   stage.Until([&] { return other.got == "$1\r\nx\r\n"; });
@@ -80,22 +82,23 @@
   CHECK(stage.router.counters().requests == 1);
 }
 
-TEST_CASE("departure: a command that comes together with its client's close is not sent on") {
-  LeavesBehindItsCommand(Leaves::kCloses);
+TEST_CASE("departure: a command that arrives together with its client's close is not sent to a server") {
+  LeavesRightAfterCommand(Leaves::kCloses);
 }
 
-TEST_CASE("departure: a command that comes together with its client's reset is not sent on") {
-  LeavesBehindItsCommand(Leaves::kResets);
+TEST_CASE("departure: a command that arrives together with its client's reset is not sent to a server") {
+  LeavesRightAfterCommand(Leaves::kResets);
 }
 
-// The memory for large values is taken: of two that come at once the second is not read.
+// The memory for large values is in use: the second of two concurrent large values is not read.
 TEST_CASE("departure: a client that closes while its value waits for memory is noticed") {
   const std::string large = "$" + std::to_string(resp::kMaxBody) + "\r\n";
   auto begins = [&](const std::string& key) {
     return "*5\r\n" + Bulk("OBJ.SET") + Bulk(key) + Bulk(Id(key)) + Bulk("c=keyed,d=2000,k=1") + large;
   };
   Stage stage({}, {}, "", 1024, 16);
-  // Each asks for another key before: once that is with the server, what came with it has been read.
+  // Each client requests another key first. Once that request has reached the server, the rest of the
+  // client's input has been read too.
   LeavingClient first(stage.router.port(),
                       Get("1000", "c=read,t=acme,d=2000") + begins("00000000000000aa") + "v");
   stage.Until([&] { return stage.member.Count("OBJ.GET") == 1; });
--- a/tests/net/held_attempt_test.cpp
+++ b/tests/net/held_attempt_test.cpp
@@ -1,17 +1,16 @@
-// An attempt that waits for the record of its work, which outlives a router: it has one outcome, whatever
-// comes first.
+// An attempt that waits for its send permit has exactly one outcome, whatever happens first.
 #include <memory>
 #include <string>
 
 #include "base/address.h"
 #include "net/rules_stage.h"
-#include "stage/decision.h"
+#include "stage/balancer_driver.h"
 
 namespace peatbend::net::test {
 namespace {
 
-// The decisions alone, with records that answer when a test says so and a client that counts its answers.
-class HeldAttempt : public Keeping, public AnswerSink {
+// A BalancerDriver with a scripted operation tracker and a client that counts its answers.
+class HeldAttempt : public OperationTracker, public AnswerSink {
  public:
   HeldAttempt() {
     ServerListEntry entry;
@@ -19,11 +18,11 @@
     entry.entry.kind = settings.origin_kind;
     entry.address = "127.0.0.1:" + std::to_string(stage.origin.port);
     ParseAddress(entry.address, entry.to, entry.to_size);
-    decision.ServerListChanged(Scope::kFull, {entry});
-    decision.Keep(this);
+    driver.ServerListChanged(Scope::kFull, {entry});
+    driver.SetOperationTracker(this);
   }
 
-  RequestId Take() {
+  RequestId Admit() {
     auto request = std::make_unique<Request>();
     request->text = "c=keyed,d=2000,k=1";
     request->facts = request->text;
@@ -32,15 +31,15 @@
     request->write = true;
     request->cls = 1;
     request->remaining = std::chrono::seconds(2);
-    return decision.Take(std::move(request), *this, 0).value();
+    return driver.Admit(std::move(request), *this, 0).value();
   }
 
   bool Tracks(const Request&) const override { return true; }
-  void Opened(RequestId, const Request&, Duration) override {}
-  void Want(RequestId, const std::string&) override { ++wants; }
-  void FlowEnded(RequestId, bool) override {}
-  void Finish(RequestId, failover::OperationOutcome, std::string) override {}
-  void Left(RequestId) override { ++lefts; }  // nothing follows
+  void StartTracking(RequestId, const Request&, Duration) override {}
+  void RequestSendPermit(RequestId, const std::string&) override { ++permit_requests; }
+  void OnAttemptEnded(RequestId, bool) override {}
+  void RecordOutcome(RequestId, failover::OperationOutcome, std::string) override {}
+  void StopTracking(RequestId) override { ++stops; }
 
   void Serve(std::uint64_t, evbuffer*) override { ++answers; }
   void Reject(std::uint64_t, Duration) override { ++answers; }
@@ -57,22 +56,22 @@
   Tuning::Members tuning;
   SocketBudget sockets;
   MemberConnections connections{stage.base.get(), settings, tuning, sockets, clock, log, counters};
-  Decision decision{stage.base.get(), settings, 7, connections, [] {}, clock, log, counters};
-  int wants = 0, lefts = 0, answers = 0;
+  BalancerDriver driver{stage.base.get(), settings, 7, connections, [] {}, clock, log, counters};
+  int permit_requests = 0, stops = 0, answers = 0;
 };
 
-// Guards against requests kept for good, and places at the server with them: its records say nothing after
-// the client has left, and so the attempt's outcome was never told.
-TEST_CASE("held attempt: one whose client leaves is told as never sent, and nothing of it stays") {
+// Guards against a leak of requests, and of their in-flight slots at the server: the tracker does not reply
+// after the client has left, so the outcome of the attempt was never reported.
+TEST_CASE("held attempt: one whose client leaves is reported as never sent, and its request is released") {
   HeldAttempt held;
-  RequestId id = held.Take();
-  held.stage.Until([&] { return held.wants == 1; });
-  held.decision.ClientLeft(id);
-  held.stage.Until([&] { return held.decision.transactions() == 0; });
-  CHECK(held.lefts == 1);
+  RequestId id = held.Admit();
+  held.stage.Until([&] { return held.permit_requests == 1; });
+  held.driver.ClientLeft(id);
+  held.stage.Until([&] { return held.driver.transactions() == 0; });
+  CHECK(held.stops == 1);
   CHECK(held.answers == 0);
   CHECK(held.counters.outcomes[static_cast<std::size_t>(Result::kNeverSent)] == 1);
-  held.decision.MaySend(id);  // too late to matter
+  held.driver.PermitSend(id);  // too late to have an effect
   held.stage.Rest();
   CHECK(held.counters.attempts == 0);
   CHECK(held.stage.origin.ends.empty());
--- a/tests/net/main.cpp
+++ b/tests/net/main.cpp
@@ -1,6 +1,5 @@
-// The start of every doctest program. Test cases named in the environment variable PEATBEND_KNOWN_RED
-// (doctest's comma-separated patterns; scripts/test sets it from KNOWN-RED.txt) are passed over; all others
-// run.
+// The main function of all doctest programs. Skips the test cases that match the environment variable
+// PEATBEND_KNOWN_RED, a comma-separated list of doctest patterns that scripts/test sets from KNOWN-RED.txt.
 #define DOCTEST_CONFIG_IMPLEMENT
 #include <cstdlib>
 
--- a/tests/net/members_test.cpp
+++ b/tests/net/members_test.cpp
@@ -8,13 +8,14 @@
 
 TEST_CASE("connections to members are used again, and one found stale is an outcome of its own") {
   int times = 0;
-  Stage stage([&](End& end) { ++times < 3 ? end.Say(Value("x")) : end.Hang(); }, Stage::Says(kOk));
+  Stage stage([&](End& end) { ++times < 3 ? end.Say(Value("x")) : end.Hang(); },
+              Stage::Says(kOriginResponse));
   CHECK(stage.Ask(kRead) == "$1\r\nx\r\n");
   stage.Rest();
   CHECK(stage.Ask(kRead) == "$1\r\nx\r\n");
   CHECK(stage.router.counters().dials == 1);
   stage.Rest();
-  CHECK(stage.Ask(kRead) == kFrom);  // the module's choice; the flow itself was not sent again
+  CHECK(stage.Ask(kRead) == kOriginReply);  // the module's choice; the flow itself was not sent again
   CHECK(Outcomes(stage, Result::kReset) == 1);
   CHECK(stage.member.Count("OBJ.GET") == 3);
 }
@@ -29,12 +30,12 @@
         answered = true;
         for (End& one : stage.member.ends) one.Say(Value("x"));
       },
-      Stage::Says(kOk));
+      Stage::Says(kOriginResponse));
   for (const char* key : {"1000", "2000"}) stage.Client(Get(key, "c=read,d=2000"));
   stage.Until([&] { return Outcomes(stage, Result::kGood) == 2; });
   stage.Rest();
   std::string told = stage.Ask(Get("1000", "c=read,d=300"));
-  CHECK((told.starts_with("-BUSY") || told == kFrom));  // its time is over, or all but
+  CHECK((told.starts_with("-BUSY") || told == kOriginReply));  // its time is over, or all but
   CHECK(Outcomes(stage, Result::kLate) == 1);
   stage.Until([&] { return stage.member.ends.front().closed && stage.member.ends.back().closed; });
   CHECK(stage.member.ends.size() == 2);
@@ -64,11 +65,11 @@
 }
 
 TEST_CASE("malformed members and an unreachable one are outcomes") {
-  Stage stage(Stage::Says("+WHAT\r\n"), Stage::Says(kOk));
-  CHECK(stage.Ask(kRead) == kFrom);
+  Stage stage(Stage::Says("+WHAT\r\n"), Stage::Says(kOriginResponse));
+  CHECK(stage.Ask(kRead) == kOriginReply);
   CHECK(stage.router.counters().member_malformed == 1);
   stage.member.Refuse();
-  CHECK(stage.Ask(kRead) == kFrom);
+  CHECK(stage.Ask(kRead) == kOriginReply);
   CHECK(Outcomes(stage, Result::kNoConn) == 1);
 }
 
--- a/tests/net/rules_test.cpp
+++ b/tests/net/rules_test.cpp
@@ -1,4 +1,4 @@
-// The rules and the protocol's promises, each on real sockets.
+// The rules of routing and the guarantees of the client protocol, tested on real sockets.
 #include <sys/socket.h>
 
 #include <set>
@@ -9,7 +9,7 @@
 namespace peatbend::net::test {
 namespace {
 
-TEST_CASE("a read passes key, id and facts on and brings the member's value back") {
+TEST_CASE("a read forwards key, id and facts and returns the member's value") {
   Stage stage(Stage::Says(Value("a\r\nb")));
   CHECK(stage.Ask(kRead) == "$4\r\na\r\nb\r\n");
   const std::string& got = stage.member.ends.front().got;
@@ -19,12 +19,12 @@
   CHECK(got.ends_with(",r=1,size=9\r\n"));
   int limit = std::stoi(got.substr(d + 16));
   CHECK(limit > 0);
-  CHECK(limit <= 480);  // what is left of the client's time
+  CHECK(limit <= 480);  // the remaining time of the client
 }
 
 TEST_CASE("a miss is fetched from the origin, in HTTP") {
-  Stage stage(Stage::Says(kMiss), Stage::Says(kOk));
-  CHECK(stage.Ask(kRead) == kFrom);
+  Stage stage(Stage::Says(kMiss), Stage::Says(kOriginResponse));
+  CHECK(stage.Ask(kRead) == kOriginReply);
   const std::string& got = stage.origin.ends.front().got;
   const std::string before = std::string("GET /") + kKey +
                              " HTTP/1.1\r\nHost: origin\r\nX-Correlation-Id: 9b1f03aa5c7e2d41\r\n"
@@ -32,21 +32,21 @@
   REQUIRE(got.starts_with(before));
   int left = std::stoi(got.substr(before.size()));
   CHECK(left > 0);
-  CHECK(left <= 480);  // what is left of the client's time
+  CHECK(left <= 480);  // the remaining time of the client
   CHECK(got == before + std::to_string(left) + ",r=1,size=9\r\n\r\n");
 }
 
-TEST_CASE("a value of 64 KiB passes whole, in both directions") {
+TEST_CASE("a value of 64 KiB is forwarded completely in both directions") {
   std::string big(resp::kMaxValue, 'v');
   Stage stage(Stage::Says(Value(big)), [&](End& end) {
-    if (end.got.ends_with(big)) end.Say(kOk);
+    if (end.got.ends_with(big)) end.Say(kOriginResponse);
   });
   CHECK(stage.Ask(kRead) == Bulk(big));
-  CHECK(stage.Ask(Set(kKey, "c=keyed,d=2000,k=1", big)) == kFrom);
+  CHECK(stage.Ask(Set(kKey, "c=keyed,d=2000,k=1", big)) == kOriginReply);
   CHECK(stage.origin.ends.front().got.find("Content-Length: 65536\r\n\r\n" + big) != std::string::npos);
 }
 
-// Rule 1. Guards against requests that nobody answers, and against two answers to one.
+// Rule 1. Guards against requests without an answer, and against two answers to one request.
 TEST_CASE("rule: silent servers lead to one final answer by the deadline, and no more") {
   Stage stage;
   End& client = stage.Client(Get(kKey, "c=read,t=acme,d=300"));
@@ -59,25 +59,25 @@
   stage.Until([&] { return client.got.ends_with("+PONG\r\n"); });
   CHECK(client.got == "-BUSY 500\r\n+PONG\r\n");
   CHECK(Outcomes(stage, Result::kLate) == stage.router.counters().attempts);
-  stage.Until([&] { return stage.member.ends.front().closed; });  // a flow given up closes its connection
+  stage.Until([&] { return stage.member.ends.front().closed; });  // a cancelled attempt closes its connection
 }
 
-// Rule 2. What may have run is resent only as its class allows.
-TEST_CASE("rule: an unsafe write cut off after it was written is neither resent nor refused") {
+// Rule 2. A request that may have run is resent only if its class allows that.
+TEST_CASE("rule: an unsafe write reset after it was sent is neither resent nor rejected") {
   Stage stage({}, [](End& end) { end.Hang(); });
   CHECK(stage.Ask(Set(kKey, "c=unsafe,d=900", "v")) == "-ERR failed\r\n");
   CHECK(stage.origin.Count("PUT /") == 1);
   CHECK(Outcomes(stage, Result::kReset) == 1);
 }
 
-TEST_CASE("rule: a keyed write cut off is resent with the same key") {
+TEST_CASE("rule: a keyed write that is reset is resent with the same key") {
   int times = 0;
-  Stage stage({}, [&](End& end) { ++times == 1 ? end.Hang() : end.Say(kOk); });
-  CHECK(stage.Ask(Set(kKey, "c=keyed,d=900,k=5c0f", "v")) == kFrom);
+  Stage stage({}, [&](End& end) { ++times == 1 ? end.Hang() : end.Say(kOriginResponse); });
+  CHECK(stage.Ask(Set(kKey, "c=keyed,d=900,k=5c0f", "v")) == kOriginReply);
   CHECK(stage.origin.Count("k=5c0f") == 2);
 }
 
-TEST_CASE("rule: an unsafe write that could not connect never ran and may be refused") {
+TEST_CASE("rule: an unsafe write that could not connect never ran and may be rejected") {
   Stage stage;
   stage.origin.Refuse();
   CHECK(stage.Ask(Set(kKey, "c=unsafe,d=900", "v")).starts_with("-BUSY"));
@@ -85,23 +85,23 @@
 }
 
 // Rule 3.
-TEST_CASE("rule: nothing goes to a member once discovery has written that it drains") {
-  Stage stage(Stage::Says(Value("x")), Stage::Says(kOk));
+TEST_CASE("rule: nothing is sent to a member once discovery has listed it as draining") {
+  Stage stage(Stage::Says(Value("x")), Stage::Says(kOriginResponse));
   CHECK(stage.Ask(kRead) == "$1\r\nx\r\n");
   std::string draining = Member("box-1", stage.member.port);
   draining.replace(draining.find("SERVING"), 7, "DRAINING");
   stage.Watched({R"({"index":42,"snapshot":false,"endpoints":[)" + draining + "]}"});
   stage.Until([&] { return stage.router.counters().server_list_changes == 1; });
-  for (int i = 0; i < 5; ++i) CHECK(stage.Ask(kRead) == kFrom);
+  for (int i = 0; i < 5; ++i) CHECK(stage.Ask(kRead) == kOriginReply);
   CHECK(stage.member.Count("OBJ.GET") == 1);
-  stage.Until([&] { return stage.member.ends.front().closed; });  // nor is a connection kept to it
+  stage.Until([&] { return stage.member.ends.front().closed; });  // and its idle connection is closed
 }
 
-// Rule 4. Guards against a start time that is lost between the list and the module's clock.
+// Rule 4. Guards against a start time that is lost between the server list and the balancer's clock.
 TEST_CASE("rule: a member that has just started is not sent all its keys at once") {
   auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
       std::chrono::system_clock::now().time_since_epoch());
-  Stage stage({}, Stage::Says(kOk), R"(,"since_ms":)" + std::to_string(now.count()));
+  Stage stage({}, Stage::Says(kOriginResponse), R"(,"since_ms":)" + std::to_string(now.count()));
   for (int i = 0; i < 40; ++i) stage.Client(Get(std::to_string(1000 + i), "c=read,t=acme,d=600"));
   stage.Until([&] {
     return std::all_of(stage.clients.begin(), stage.clients.end(),
@@ -137,7 +137,7 @@
   stage.Until([&] { return client.got == "$1\r\nx\r\n"; });
 }
 
-TEST_CASE("malformed input gets the answers owed, one -ERR and a close") {
+TEST_CASE("malformed input gets the pending answers, one -ERR and a close") {
   Stage stage(Stage::Says(Value("x")));
   const struct {
     std::string text, answer;
@@ -156,31 +156,31 @@
   }
 }
 
-// Guards against clients that hold a connection and memory for good: bytes that drip buy no time.
-TEST_CASE("a client has its time for a command, however the bytes drip, and an idle one is closed") {
+// Guards against clients that hold a connection and memory indefinitely by sending a command slowly.
+TEST_CASE("a command must arrive in time however slowly its bytes come, and an idle client is closed") {
   Stage stage(Stage::Says(Value("x")));
   End& silent = stage.Client("");
-  End& drips = stage.Client("*4\r\n");
+  End& slow = stage.Client("*4\r\n");
   End& half = stage.Client(kRead + kRead.substr(0, 30));
   End& idle = stage.Client("*1\r\n" + Bulk("PING"));
-  End& goes_on = stage.Client("GARBAGE\r\n");
+  End& continuing = stage.Client("GARBAGE\r\n");
   auto from = std::chrono::steady_clock::now();
   stage.Until([&] {
-    if (!drips.closed) drips.Say("$");
-    if (!goes_on.closed) goes_on.Say("and more of it\r\n");
-    return drips.closed && silent.closed && half.closed && idle.closed && goes_on.closed;
+    if (!slow.closed) slow.Say("$");
+    if (!continuing.closed) continuing.Say("and more of it\r\n");
+    return slow.closed && silent.closed && half.closed && idle.closed && continuing.closed;
   });
   CHECK(std::chrono::steady_clock::now() - from > std::chrono::seconds(2));
   CHECK(silent.got == "");
-  CHECK(drips.got.starts_with("-ERR "));
+  CHECK(slow.got.starts_with("-ERR "));
   CHECK(half.got == "$1\r\nx\r\n-ERR command not whole in time\r\n");
   CHECK(idle.got == "+PONG\r\n");
-  CHECK(goes_on.got == "-ERR expected an array\r\n");
+  CHECK(continuing.got == "-ERR expected an array\r\n");
   CHECK(stage.router.counters().clients_closed_as_idle == 2);
 }
 
-// Guards against answers given to the wrong one of two requests, and against a second copy at a member.
-TEST_CASE("an id that is open for another client is an error, and free again once it is answered") {
+// Guards against an answer to the wrong one of two requests, and against a second copy at a member.
+TEST_CASE("an id that is open for another client is an error, and available again once it is answered") {
   End* first = nullptr;
   Stage stage([&](End& end) { first = &end; });
   End& client = stage.Client(kRead);
@@ -195,24 +195,24 @@
   stage.Until([&] { return again.got == "$1\r\ny\r\n"; });
 }
 
-// Guards against memory that half-sent commands take, all together: 16 MB here allow for 2 MB of them.
-TEST_CASE("of many half-sent commands those begun first are turned away, and whole ones are served") {
+// Guards against unlimited memory for incomplete commands: with 16 MB in all they may take 2 MB.
+TEST_CASE("of many incomplete commands the oldest are rejected, and complete ones are served") {
   const std::string value(resp::kMaxValue, 'v'), big = Set("1000", "c=keyed,d=2000,k=1", value);
-  auto once_whole = [&](End& end) {
-    if (end.got.ends_with(value)) end.Say(kOk);
+  auto once_complete = [&](End& end) {
+    if (end.got.ends_with(value)) end.Say(kOriginResponse);
   };
-  Stage stage(Stage::Says(Value("x")), once_whole, "", 1024, 16);
+  Stage stage(Stage::Says(Value("x")), once_complete, "", 1024, 16);
   for (int i = 0; i < 60; ++i) stage.Client(big.substr(0, 60000));
-  auto away = [&] {
+  auto rejected = [&] {
     return std::count_if(stage.clients.begin(), stage.clients.end(),
                          [](const End& client) { return client.got == "-ERR too much at once\r\n"; });
   };
-  stage.Until([&] { return away() >= 60 - 2 * 1024 * 1024 / 60000; });
+  stage.Until([&] { return rejected() >= 60 - 2 * 1024 * 1024 / 60000; });
   CHECK(stage.Ask(kRead) == "$1\r\nx\r\n");
-  CHECK(stage.Ask(Set("2000", "c=keyed,d=2000,k=1", value)) == kFrom);
+  CHECK(stage.Ask(Set("2000", "c=keyed,d=2000,k=1", value)) == kOriginReply);
 }
 
-TEST_CASE("a client that leaves is forgotten, and others are served") {
+TEST_CASE("a request is dropped when its client leaves, and others are served") {
   Stage stage([](End& end) {
     if (end.got.find("2000") != std::string::npos) end.Say(Value("x"));
   });
@@ -225,15 +225,15 @@
   CHECK(stage.router.counters().Sum(&Of::rejected) + stage.router.counters().Sum(&Of::failed) == 0);
 }
 
-// Guards against a full table of descriptors, which would keep members from being reached.
-TEST_CASE("many clients: the longest idle make room, and members can still be reached") {
+// Guards against running out of descriptors, which would prevent connections to members.
+TEST_CASE("with many clients the longest idle are closed, and members can still be reached") {
   Stage stage(Stage::Says(Value("x")), {}, "", 64);
   for (int i = 0; i < 60; ++i) CHECK(stage.Ask("*1\r\n" + Bulk("PING")) == "+PONG\r\n");
   CHECK(stage.Ask(kRead) == "$1\r\nx\r\n");
   CHECK(stage.router.counters().clients_closed_for_room > 0);
 }
 
-TEST_CASE("in a crowd a client that asks nothing is closed soon, though there is room") {
+TEST_CASE("with many clients one that sends no request is closed early, though descriptors are free") {
   Stage stage(Stage::Says(Value("x")), {}, "", 64);
   End& usual = stage.Client(kRead);
   stage.Until([&] { return usual.got == "$1\r\nx\r\n"; });
@@ -242,29 +242,28 @@
   CHECK(!usual.closed);
 }
 
-// Guards against what turned requests away on the recorded day: the front holds a third of the descriptors
-// for clients, and those that ask once and keep their connection filled it before they counted as idle for
-// long.
-TEST_CASE("clients that ask once and stay leave room for others, and those that come back stay longer") {
+// Guards against new clients being turned away: clients may hold a third of the descriptors, and connections
+// kept open after a single request filled that share before they counted as idle.
+TEST_CASE("clients idle after one request are closed to make room, and those with several stay longer") {
   Stage stage(Stage::Says(Value("x")), {}, "", 128);
   auto ask = [&](End& client, int number) {
     std::size_t before = client.got.size();
     client.Say(Get("00000000000" + std::to_string(10000 + number), "c=read,d=1900"));
     stage.Until([&] { return client.got.size() > before; });
   };
-  End& comes_back = stage.Client("");
-  ask(comes_back, 0);
-  ask(comes_back, 1);
+  End& returning = stage.Client("");
+  ask(returning, 0);
+  ask(returning, 1);
   for (int i = 2; i < 70; ++i) ask(stage.Client(""), i);
   auto open =
       std::count_if(stage.clients.begin(), stage.clients.end(), [](const End& end) { return !end.closed; });
   CHECK(open <= 128 / 4);
   CHECK(open >= 128 / 6);
-  CHECK(!comes_back.closed);
+  CHECK(!returning.closed);
 }
 
-// Guards against strangers who connect by hundreds and say nothing, or half a command.
-TEST_CASE("silent clients make room for each other before those that ask do") {
+// Guards against hundreds of connections that send nothing or an incomplete command.
+TEST_CASE("silent clients are closed before those that send requests") {
   Stage stage(Stage::Says(Value("x")), {}, "", 64);
   End& usual = stage.Client(kRead);
   stage.Until([&] { return usual.got == "$1\r\nx\r\n"; });
@@ -279,8 +278,9 @@
   CHECK(stage.Ask(kRead) == "$1\r\nx\r\n");
 }
 
-// A planned restart: what comes meanwhile is served, what was taken is answered, then it ends.
-TEST_CASE("a stop loses nothing") {
+// A planned restart: new requests are served meanwhile, and the router stops once all admitted ones are
+// answered.
+TEST_CASE("a stop loses no request") {
   End* waiting = nullptr;
   Stage stage([&](End& end) {
     if (end.got.find("1000") != std::string::npos) {
--- a/tests/net/schema_office_test.cpp
+++ b/tests/net/schema_office_test.cpp
@@ -75,7 +75,7 @@
     request.text = std::move(facts);
     request.facts = request.text;
     RequestEvent event;
-    office->Judge(request, event);
+    office->Check(request, event);
     return event;
   }
   Allowance Of(bool write, const std::string& facts, int cls = 1) { return Ask(write, facts, cls).allowance; }
--- a/tests/orders/open_test.cpp
+++ b/tests/orders/open_test.cpp
@@ -1,5 +1,4 @@
-// Findings F13 and F15 of docs/review-findings.md, which were open for a while. Each test states what has to
-// hold.
+// Regression tests for findings F13 and F15 of docs/review-findings.md.
 #include <algorithm>
 #include <variant>
 
@@ -11,9 +10,9 @@
 
 using std::chrono::milliseconds;
 
-// One class of reads, one of writes; a cache server and the origin.
-struct Small {
-  Settings set = [] {
+// A balancer with a class of reads, a class of writes, one cache server and the origin.
+struct SmallFleet {
+  Settings settings = [] {
     Settings settings;
     settings.classes.resize(2);
     for (ClassSettings& cls : settings.classes) {
@@ -30,15 +29,15 @@
     settings.tick = milliseconds(5);
     return settings;
   }();
-  Balancer balancer{set, 7};
+  Balancer balancer{settings, 7};
   TimePoint now{std::chrono::seconds(100)};
-  std::vector<Action> did;
+  std::vector<Action> actions;
 
-  void Take(const Event& event) {
-    did.clear();
-    balancer.Handle(now, event, did);
+  void Handle(const Event& event) {
+    actions.clear();
+    balancer.Handle(now, event, actions);
   }
-  void List(Scope scope, const std::vector<ServerEntry>& entries) { Take(MembershipEvent{scope, entries}); }
+  void List(Scope scope, const std::vector<ServerEntry>& entries) { Handle(MembershipEvent{scope, entries}); }
   static ServerEntry Entry(const std::string& name, TimePoint started = {}) {
     ServerEntry entry;
     entry.id = {name};
@@ -46,88 +45,91 @@
     entry.started = started;
     return entry;
   }
-  // The cache server has answered this request, after so long.
-  void AnswerGood(unsigned id, Duration elapsed) {
+  // The cache server has answered the request successfully after `elapsed`.
+  void Answer(unsigned id, Duration elapsed) {
     OutcomeEvent good;
     good.id = RequestId{id};
     good.server = "box";
     good.elapsed = elapsed;
     good.done = true;
-    Take(good);
+    Handle(good);
   }
-  // So many sends as it led to.
-  std::size_t Ask(unsigned id, bool write, Duration remaining) {
+  // Sends a request to the balancer; returns the number of resulting Send actions.
+  std::size_t Request(unsigned id, bool write, Duration remaining) {
     RequestEvent event;
     event.id = RequestId{id};
     event.key = Key{id};
     event.cls = write ? 1 : 0;
     event.write = write;
     event.remaining = remaining;
-    Take(event);
-    return static_cast<std::size_t>(std::count_if(
-        did.begin(), did.end(), [](const Action& action) { return std::holds_alternative<Send>(action); }));
+    Handle(event);
+    return static_cast<std::size_t>(std::count_if(actions.begin(), actions.end(), [](const Action& action) {
+      return std::holds_alternative<Send>(action);
+    }));
   }
 };
 
-// F13. The warm-up is the cache servers'; nobody says that the origin has one.
-TEST_CASE("open: an origin that has just started takes as many as it will a moment later") {
-  Small small;
-  small.List(Scope::kFull, {Small::Entry("box"), Small::Entry("origin", small.now)});
+// F13. Only cache servers need time to warm up after a start, not the origin.
+TEST_CASE("open: an origin that has just started is sent as many requests as later") {
+  SmallFleet fleet;
+  fleet.List(Scope::kFull, {SmallFleet::Entry("box"), SmallFleet::Entry("origin", fleet.now)});
   std::size_t sent = 0;
-  for (unsigned id = 1; id <= 6; ++id) sent += small.Ask(id, true, milliseconds(900));
+  for (unsigned id = 1; id <= 6; ++id) sent += fleet.Request(id, true, milliseconds(900));
   CHECK(sent == 6);
 }
 
-// F15. What no server has ever answered in is too short: told at once, it costs nobody's work.
-TEST_CASE("open: a request whose time is too short for any server is not sent") {
-  Small small;
-  small.List(Scope::kFull, {Small::Entry("box"), Small::Entry("origin")});
+// F15. A request with less time than any server has ever needed is rejected at once and costs no server any
+// work.
+TEST_CASE("open: a request with too little time for any server is not sent") {
+  SmallFleet fleet;
+  fleet.List(Scope::kFull, {SmallFleet::Entry("box"), SmallFleet::Entry("origin")});
   for (unsigned id = 1; id <= 100; ++id) {
-    REQUIRE(small.Ask(id, false, milliseconds(900)) == 1);
-    small.now += milliseconds(30);
-    small.AnswerGood(id, milliseconds(30));
+    REQUIRE(fleet.Request(id, false, milliseconds(900)) == 1);
+    fleet.now += milliseconds(30);
+    fleet.Answer(id, milliseconds(30));
   }
-  CHECK(small.Ask(1000, false, milliseconds(5)) == 0);
+  CHECK(fleet.Request(1000, false, milliseconds(5)) == 0);
   CHECK(std::ranges::count_if(
-            small.did, [](const Action& action) { return std::holds_alternative<Refuse>(action); }) == 1);
+            fleet.actions, [](const Action& action) { return std::holds_alternative<Refuse>(action); }) == 1);
 }
 
-// F15, the other side: half of what servers have answered in may do, and so may anything once no server has
-// answered for long.
-TEST_CASE("open: a request whose time may do is sent") {
-  Small small;
-  small.List(Scope::kFull, {Small::Entry("box"), Small::Entry("origin")});
-  CHECK(small.Ask(1, false, milliseconds(5)) == 1);  // no server has answered yet
+// F15, the opposite case: half the time that servers have needed may suffice, and so may any time once no
+// server has answered for long.
+TEST_CASE("open: a request whose time may suffice is sent") {
+  SmallFleet fleet;
+  fleet.List(Scope::kFull, {SmallFleet::Entry("box"), SmallFleet::Entry("origin")});
+  CHECK(fleet.Request(1, false, milliseconds(5)) == 1);  // no server has answered yet
   OutcomeEvent late;
   late.id = RequestId{1};
   late.server = "box";
   late.result = Result::kLate;
   late.elapsed = milliseconds(5);
   late.done = true;
-  small.Take(late);
+  fleet.Handle(late);
   for (unsigned id = 2; id <= 100; ++id) {
-    REQUIRE(small.Ask(id, false, milliseconds(900)) == 1);
-    small.now += milliseconds(30);
-    small.AnswerGood(id, milliseconds(30));
+    REQUIRE(fleet.Request(id, false, milliseconds(900)) == 1);
+    fleet.now += milliseconds(30);
+    fleet.Answer(id, milliseconds(30));
   }
-  CHECK(small.Ask(1000, false, milliseconds(15)) == 1);
-  CHECK(small.Ask(1001, true, milliseconds(5)) == 1);  // another class, of which nothing is known
-  small.now += std::chrono::seconds(60);
-  CHECK(small.Ask(1002, false, milliseconds(5)) == 1);
+  CHECK(fleet.Request(1000, false, milliseconds(15)) == 1);
+  CHECK(fleet.Request(1001, true, milliseconds(5)) == 1);  // another class, without any answers so far
+  fleet.now += std::chrono::seconds(60);
+  CHECK(fleet.Request(1002, false, milliseconds(5)) == 1);
 }
 
-// A stream has no deadline once it has started: its length says nothing of what a request needs.
-TEST_CASE("open: long streams rule out no request") {
-  Small small;
-  small.List(Scope::kFull, {Small::Entry("box"), Small::Entry("origin")});
+// A stream has no deadline once it has started, so its duration does not count as the time that a request
+// needs.
+TEST_CASE("open: long streams do not cause rejections") {
+  SmallFleet fleet;
+  fleet.List(Scope::kFull, {SmallFleet::Entry("box"), SmallFleet::Entry("origin")});
   for (unsigned id = 1; id <= 20; ++id) {
-    REQUIRE(small.Ask(id, false, milliseconds(900)) == 1);
-    small.now += milliseconds(30);
-    small.Take(StreamStartEvent{RequestId{id}, 0});
-    small.now += std::chrono::seconds(20);
-    small.AnswerGood(id, std::chrono::seconds(20));
+    REQUIRE(fleet.Request(id, false, milliseconds(900)) == 1);
+    fleet.now += milliseconds(30);
+    fleet.Handle(StreamStartEvent{RequestId{id}, 0});
+    fleet.now += std::chrono::seconds(20);
+    fleet.Answer(id, std::chrono::seconds(20));
   }
-  CHECK(small.Ask(1000, false, milliseconds(900)) == 1);
+  CHECK(fleet.Request(1000, false, milliseconds(900)) == 1);
 }
 
 }  // namespace
--- a/tests/orders/sockets_test.cpp
+++ b/tests/orders/sockets_test.cpp
@@ -1,5 +1,5 @@
-// The real stages under all orders of a few events, against scripted peers on loopback: a read and a write
-// that may not be repeated, an answer, a drain, a client that leaves, a stop.
+// The network stages under all interleavings of a few events, with scripted peers on loopback: a read, an
+// unsafe write, an answer, a drain, a client that leaves and a stop.
 #include <chrono>
 
 #include "net/stage.h"
@@ -8,19 +8,21 @@
 namespace peatbend::net::test {
 namespace {
 
-const std::string kFrom = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfrom";
+const std::string kHttpResponse = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfrom";
 
-class Sockets : public Stage {
+class SocketStage : public Stage {
  public:
-  Sockets() : Stage([this](End& end) { Came(end, Value("x")); }, [this](End& end) { Came(end, kFrom); }) {
+  SocketStage()
+      : Stage([this](End& end) { OnReceived(end, Value("x")); },
+              [this](End& end) { OnReceived(end, kHttpResponse); }) {
     watch_ = &Watched();
   }
 
-  void Ask() { reader_ = &Asks(Get(kKey, "c=read,d=1900")); }
-  void Write() { writer_ = &Asks(Set("000000000000ab12", "c=unsafe,d=1900", "v")); }
+  void Read() { reader_ = &SendAndAwaitDispatch(Get(kKey, "c=read,d=1900")); }
+  void Write() { writer_ = &SendAndAwaitDispatch(Set("000000000000ab12", "c=unsafe,d=1900", "v")); }
   void Answer() {
-    answers_ = true;
-    for (auto& [end, text] : std::exchange(waiting_, {})) end->Say(text);
+    answering_ = true;
+    for (auto& [end, text] : std::exchange(unanswered_, {})) end->Say(text);
     for (End* client : {reader_, writer_}) {
       if (client != nullptr && !client->hung()) Until([&] { return client->got.ends_with("\r\n"); });
     }
@@ -30,27 +32,28 @@
     entry.replace(entry.find("SERVING"), 7, "DRAINING");
     watch_->Say(Chunk(R"({"index":42,"snapshot":false,"endpoints":[)" + entry + "]}"));
     Until([&] { return router.counters().server_list_changes == 1; });
-    until_told_ = Attempts();
+    attempts_at_drain_ = Attempts();
   }
   void Leave() {
     if (reader_ == nullptr) return;
     reader_->Hang();
     Until([&] { return router.counters().clients_closed == 1; });
   }
-  void Stops() {
+  void StopRouter() {
     router.Stop([] {});
   }
 
-  // One final answer to each that did not leave, no second effect, nothing new to a draining member.
+  // At most one answer to each client, at most one execution of the write, and no new attempt at a draining
+  // member.
   void Check() {
     std::size_t writes = origin.Count("PUT /");
     CHECK(writes <= (writer_ == nullptr ? 0 : 1));
-    if (until_told_) CHECK(Attempts() == *until_told_);
+    if (attempts_at_drain_) CHECK(Attempts() == *attempts_at_drain_);
     for (End* client : {reader_, writer_}) {
       if (client == nullptr || client->hung()) continue;
-      bool none = client->got.empty() && !client->closed,
-           one = client->got == "$1\r\nx\r\n" || client->got == "$4\r\nfrom\r\n";
-      CHECK((none || one));
+      bool unanswered = client->got.empty() && !client->closed,
+           answered = client->got == "$1\r\nx\r\n" || client->got == "$4\r\nfrom\r\n";
+      CHECK((unanswered || answered));
     }
   }
   void Finish() {
@@ -61,13 +64,13 @@
   }
 
  private:
-  void Came(End& end, const std::string& answer) {
+  void OnReceived(End& end, const std::string& answer) {
     if (!end.got.ends_with("\r\n") && !end.got.ends_with("v")) return;
-    if (answers_) return end.Say(answer);
-    waiting_.emplace_back(&end, answer);
+    if (answering_) return end.Say(answer);
+    unanswered_.emplace_back(&end, answer);
   }
   std::size_t Attempts() const { return member.Count("OBJ.GET"); }
-  End& Asks(const std::string& text) {
+  End& SendAndAwaitDispatch(const std::string& text) {
     std::uint64_t before = router.counters().dispatches;
     End& client = Client(text);
     Until([&] { return router.counters().dispatches > before; });
@@ -75,24 +78,27 @@
   }
 
   End *watch_ = nullptr, *reader_ = nullptr, *writer_ = nullptr;
-  bool answers_ = false;
-  std::vector<std::pair<End*, std::string>> waiting_;
-  std::optional<std::size_t> until_told_;
+  bool answering_ = false;
+  std::vector<std::pair<End*, std::string>> unanswered_;
+  std::optional<std::size_t> attempts_at_drain_;
 };
 
-TEST_CASE("orders: on sockets each request has its one answer, and no rule is broken") {
-  std::vector<orders::Happening<Sockets>> events = {
-      {"ask", &Sockets::Ask},     {"write", &Sockets::Write},         {"answer", &Sockets::Answer},
-      {"drain", &Sockets::Drain}, {"client leaves", &Sockets::Leave}, {"stop", &Sockets::Stops}};
+TEST_CASE("orders: on sockets each request gets one answer, and no rule is violated") {
+  std::vector<orders::Happening<SocketStage>> events = {{"ask", &SocketStage::Read},
+                                                        {"write", &SocketStage::Write},
+                                                        {"answer", &SocketStage::Answer},
+                                                        {"drain", &SocketStage::Drain},
+                                                        {"client leaves", &SocketStage::Leave},
+                                                        {"stop", &SocketStage::StopRouter}};
   auto from = std::chrono::steady_clock::now();
   std::size_t count = orders::ForEachOrder(events, [](const auto& order) {
     INFO(orders::Names(order));
-    Sockets play;
+    SocketStage stage;
     for (const auto& event : order) {
-      event.happens(play);
-      play.Check();
+      event.happens(stage);
+      stage.Check();
     }
-    play.Finish();
+    stage.Finish();
   });
   std::chrono::duration<double> took = std::chrono::steady_clock::now() - from;
   MESSAGE(count, " orders, ", took.count(), " s");
