--- a/src/front/client_session.h
+++ b/src/front/client_session.h
@@ -18,7 +18,7 @@
 #include "front/read_pause.h"
 #include "protocol/request.h"
 #include "protocol/resp.h"
-#include "stage/decision.h"
+#include "stage/balancer_driver.h"
 
 namespace peatbend::net {
 
@@ -42,17 +42,17 @@
 
 class ClientSession : public AnswerSink {
  public:
-  ClientSession(SessionHome& home, event_base* base, evutil_socket_t socket, Decision& decision,
+  ClientSession(SessionHome& home, event_base* base, evutil_socket_t socket, BalancerDriver& decision,
                 const Settings& settings, const Tuning::Clients& tuning, const Clock& clock, Log& log,
                 Counters& counters);
   ~ClientSession() override;
 
-  void Served(std::uint64_t place, evbuffer* value) override;
-  void Rejected(std::uint64_t place, Duration come_back) override;
-  void Failed(std::uint64_t place) override;
-  void Begins(std::uint64_t place, std::size_t length) override;
-  bool Piece(std::uint64_t place, evbuffer* bytes) override;
-  void Ends(std::uint64_t place, bool whole) override;
+  void Serve(std::uint64_t place, evbuffer* value) override;
+  void Reject(std::uint64_t place, Duration come_back) override;
+  void Fail(std::uint64_t place) override;
+  void BeginValue(std::uint64_t place, std::size_t length) override;
+  bool AppendChunk(std::uint64_t place, evbuffer* bytes) override;
+  void EndValue(std::uint64_t place, bool whole) override;
 
   // Nothing is owed and nothing has begun to arrive.
   bool idle() const;
@@ -128,7 +128,7 @@
   }
 
   SessionHome& home_;
-  Decision& decision_;
+  BalancerDriver& decision_;
   const Settings& settings_;
   const Tuning::Clients& tuning_;
   const Clock& clock_;
