--- a/src/rations/message.cpp
+++ b/src/rations/message.cpp
@@ -9,8 +9,10 @@
 constexpr const char* kKindNames[] = {"ask",    "promise", "confirm", "confirmed",
                                       "denied", "draw",    "grant",   "elsewhere"};
 
-std::string Text(const Go& go) {
-  return go.round == 0 ? "nobody" : fmt::format("{}/{}.{:x}.{}", go.round, go.router, go.nonce, go.number);
+std::string Text(const Ballot& ballot) {
+  return ballot.round == 0
+             ? "nobody"
+             : fmt::format("{}/{}.{:x}.{}", ballot.round, ballot.router, ballot.nonce, ballot.sequence);
 }
 
 }  // namespace
@@ -21,50 +23,51 @@
   return static_cast<std::uint32_t>(XXH3_64bits(root, sizeof root) % kShards);
 }
 
-void Put(std::string& into, std::uint64_t number) {
-  into.append(reinterpret_cast<const char*>(&number), sizeof number);
+void AppendState(std::string& into, std::uint64_t value) {
+  into.append(reinterpret_cast<const char*>(&value), sizeof value);
 }
 
-void Put(std::string& into, const std::string& text) {
-  Put(into, text.size());
+void AppendState(std::string& into, const std::string& text) {
+  AppendState(into, text.size());
   into += text;
 }
 
-void Put(std::string& into, const Go& go) {
-  Put(into, go.round);
-  Put(into, go.router);
-  Put(into, go.nonce);
-  Put(into, go.number);
+void AppendState(std::string& into, const Ballot& ballot) {
+  AppendState(into, ballot.round);
+  AppendState(into, ballot.router);
+  AppendState(into, ballot.nonce);
+  AppendState(into, ballot.sequence);
 }
 
-void Put(std::string& into, const Message& m) {
-  Put(into, static_cast<std::uint64_t>(m.kind));
-  Put(into, std::uint64_t{m.shard});
-  Put(into, m.go);
-  Put(into, m.met);
-  for (std::uint64_t each : {m.life, m.number, m.drawer, m.print}) Put(into, each);
-  Put(into, m.entries.size());
+void AppendState(std::string& into, const Message& m) {
+  AppendState(into, static_cast<std::uint64_t>(m.kind));
+  AppendState(into, std::uint64_t{m.shard});
+  AppendState(into, m.ballot);
+  AppendState(into, m.other_ballot);
+  for (std::uint64_t each : {m.generation, m.sequence, m.requester, m.fingerprint}) AppendState(into, each);
+  AppendState(into, m.entries.size());
   for (const Entry& entry : m.entries) {
-    Put(into, std::uint64_t{entry.chain.size});
+    AppendState(into, std::uint64_t{entry.chain.size});
     for (std::size_t i = 0; i < entry.chain.size; ++i) {
-      Put(into, std::uint64_t{entry.chain.buckets[i].ration});
-      Put(into, entry.chain.buckets[i].of);
+      AppendState(into, std::uint64_t{entry.chain.buckets[i].ration});
+      AppendState(into, entry.chain.buckets[i].of);
     }
-    for (std::uint64_t each : {entry.want, entry.wait_ms}) Put(into, each);
+    for (std::uint64_t each : {entry.tokens, entry.retry_after_ms}) AppendState(into, each);
   }
 }
 
 std::string Text(const Message& m) {
-  std::string text = fmt::format("{} {} of {}", kKindNames[static_cast<int>(m.kind)], m.shard, Text(m.go));
-  if (m.met.round != 0) text += ", met " + Text(m.met);
-  if (m.life != 0) text += fmt::format(", life {:x}", m.life);
-  if (m.number != 0) text += fmt::format(" #{}", m.number);
-  if (m.drawer != 0) text += fmt::format(" by {:x}", m.drawer);
+  std::string text =
+      fmt::format("{} {} of {}", kKindNames[static_cast<int>(m.kind)], m.shard, Text(m.ballot));
+  if (m.other_ballot.round != 0) text += ", met " + Text(m.other_ballot);
+  if (m.generation != 0) text += fmt::format(", life {:x}", m.generation);
+  if (m.sequence != 0) text += fmt::format(" #{}", m.sequence);
+  if (m.requester != 0) text += fmt::format(" by {:x}", m.requester);
   for (const Entry& entry : m.entries) {
     text += " [";
     for (std::size_t i = 0; i < entry.chain.size; ++i)
       text += fmt::format("{}:{:x} ", entry.chain.buckets[i].ration, entry.chain.buckets[i].of);
-    text += fmt::format("{}, wait {} ms]", entry.want, entry.wait_ms);
+    text += fmt::format("{}, wait {} ms]", entry.tokens, entry.retry_after_ms);
   }
   return text;
 }
--- a/src/rations/message.h
+++ b/src/rations/message.h
@@ -1,5 +1,5 @@
-// What routers say to each other about rations. Free of I/O and clocks; docs/design/rations.md has the
-// argument.
+// The messages that routers exchange about quotas. No I/O and no clocks; docs/design/rations.md has the
+// protocol and its proof.
 #pragma once
 
 #include <chrono>
@@ -13,69 +13,73 @@
 namespace peatbend::rations {
 
 using Span = std::chrono::nanoseconds;
-using Time = std::chrono::nanoseconds;  // on a clock that goes on while the process stands still
+using Time = std::chrono::nanoseconds;  // of a clock that keeps running while the process is suspended
 
-// So many parts the buckets are dealt to, by their root's hash; each has three seats, and one keeper at a
-// time. Each costs messages of its own, and has one draw of a router out at a time.
+// Buckets are assigned to shards by a hash of their root. Each shard has three replicas and at most one owner
+// at a time. Every shard costs messages of its own and has one outstanding token request per router.
 constexpr std::uint32_t kShards = 4;
-constexpr std::size_t kSeats = 3, kMajority = 2;
+constexpr std::size_t kReplicasPerShard = 3, kMajority = 2;
 std::uint32_t ShardOf(const Chain& chain);
 
-// One process's one go at keeping a shard. No two goes have the same, in any life of any process.
-struct Go {
-  std::uint64_t round = 0;  // higher than any that it has met; orders goes within one life of a seat
+// Identifies one election of a process for a shard. No two elections share a ballot, in any generation of any
+// process.
+struct Ballot {
+  std::uint64_t round = 0;  // above every round seen so far; orders ballots within one replica generation
   std::string router;
-  std::uint64_t nonce = 0;   // of the process, drawn at its start: no two starts have the same
-  std::uint64_t number = 0;  // of the process's goes
-  auto operator<=>(const Go&) const = default;
+  std::uint64_t nonce = 0;     // of the process, chosen at its start; no two starts share one
+  std::uint64_t sequence = 0;  // counts the elections of the process
+  auto operator<=>(const Ballot&) const = default;
 };
 
 enum class MessageKind : std::uint8_t {
-  kAsk,        // of a seat: to be promised
-  kPromise,    // nobody under a lower go is confirmed any more by this life of the seat
-  kConfirm,    // of a seat that has promised: is that go still the one?
-  kConfirmed,  // it was
-  kDenied,     // a higher go has been promised, or the seat has started anew since
-  kDraw,       // of a keeper: tokens
-  kGrant,      // and its answer
-  kElsewhere   // not kept here
+  kPrepare,       // to a replica: requests its promise
+  kPromise,       // this replica generation confirms no lower ballot any more
+  kConfirm,       // to a replica that has promised: is this ballot still the highest?
+  kConfirmed,     // it is
+  kDenied,        // a higher ballot was promised, or the replica has restarted since
+  kTokenRequest,  // to the owner of a shard
+  kGrant,         // the owner's answer
+  kRedirect       // the receiver of a token request does not own the shard
 };
 
 struct Entry {
   Chain chain;
-  std::uint32_t want = 0;     // draw: tokens wanted. grant: tokens given
-  std::uint32_t wait_ms = 0;  // grant: when there may be more
+  std::uint32_t tokens = 0;          // token request: requested; grant: granted
+  std::uint32_t retry_after_ms = 0;  // grant: when more tokens are expected
   bool operator==(const Entry&) const = default;
 };
 
 struct Message {
-  MessageKind kind = MessageKind::kAsk;
+  MessageKind kind = MessageKind::kPrepare;
   std::uint32_t shard = 0;
-  // ask, confirm and their answers: the go in question. grant: the keeper's. denied: the one asked about.
-  Go go;
-  // denied: what was promised to another. elsewhere: who keeps it, if known. draw: by whom it was not
-  // answered; who is asked instead may carry it there, and the answer back.
-  Go met;
-  std::uint64_t life = 0;    // promise, confirm, confirmed, denied: the seat's, drawn at its start
-  std::uint64_t number = 0;  // confirm, confirmed: counts within the go. draw, grant, elsewhere: the draw's
-  std::uint64_t drawer = 0;  // draw, grant: the nonce of the process that draws
-  std::uint64_t print = 0;   // draw, grant: of the table that the entries are of; elsewhere: the answerer's
-  // draw, grant. A token of an entry counts in the first of its buckets alone; those that this lies in have
-  // entries of their own.
+  // Prepare, confirm and their responses, including denials: the ballot in question. Grant: the owner's.
+  Ballot ballot;
+  // Denied: the ballot that was promised instead. Redirect: `router` is the owner, if known. Token request:
+  // `router` is the owner that has not answered; the receiver may forward the request to it and return the
+  // grant.
+  Ballot other_ballot;
+  std::uint64_t generation = 0;  // promise, confirm, confirmed, denied: of the replica, chosen at its start
+  std::uint64_t sequence = 0;    // confirm, confirmed: within the ballot. Token request, grant, redirect: the
+                                 // request's
+  std::uint64_t requester = 0;   // token request, grant: nonce of the requesting process
+  std::uint64_t fingerprint = 0;  // token request, grant: of the table that the entries refer to; redirect:
+                                  // of the sender's table
+  // Token request, grant. Tokens of an entry count in the first bucket of its chain only; the enclosing
+  // buckets have entries of their own.
   std::vector<Entry> entries;
   bool operator==(const Message&) const = default;
 };
 
-struct Out {
-  std::string router;
+struct Outgoing {
+  std::string router;  // the receiver
   Message message;
 };
 
-// Appends all of it as bytes: equal bytes, equal values. For tests that tell states apart.
-void Put(std::string& into, std::uint64_t number);
-void Put(std::string& into, const std::string& text);
-void Put(std::string& into, const Go& go);
-void Put(std::string& into, const Message& message);
+// Append a value as bytes, so that equal bytes mean equal values. Tests use this to compare states.
+void AppendState(std::string& into, std::uint64_t value);
+void AppendState(std::string& into, const std::string& text);
+void AppendState(std::string& into, const Ballot& ballot);
+void AppendState(std::string& into, const Message& message);
 std::string Text(const Message& message);  // for traces
 
 }  // namespace peatbend::rations
--- a/src/rations/wire.cpp
+++ b/src/rations/wire.cpp
@@ -11,48 +11,54 @@
 using net::MsgpackReader;
 using net::MsgpackWriter;
 
-constexpr std::size_t kMostName = 64, kFields = 9;
-constexpr std::size_t kAround = 24;     // bytes of a parcel beside its messages, at most
-constexpr std::size_t kLeastEntry = 5;  // bytes
-constexpr std::uint64_t kMostTokens = 1'000'000'000, kMostWait = 3'600'000;
+constexpr std::size_t kMaxRouterName = 64, kMessageFields = 9;
+constexpr std::size_t kMaxBatchOverhead = 24;  // bytes of a batch beside its messages
+constexpr std::size_t kMinEntryBytes = 5;
+constexpr std::uint64_t kMaxTokens = 1'000'000'000, kMaxRetryAfterMs = 3'600'000;
 
-void Write(MsgpackWriter& to, const Go& go) {
-  to.Array(4).Number(go.round).Text(go.router).Number(go.nonce).Number(go.number);
+void Write(MsgpackWriter& to, const Ballot& ballot) {
+  to.Array(4).Number(ballot.round).Text(ballot.router).Number(ballot.nonce).Number(ballot.sequence);
 }
 
 void Write(MsgpackWriter& to, const Message& m) {
-  to.Array(kFields).Number(static_cast<std::uint64_t>(m.kind)).Number(m.shard);
-  Write(to, m.go);
-  Write(to, m.met);
-  to.Number(m.life).Number(m.number).Number(m.drawer).Number(m.print).Array(m.entries.size());
+  to.Array(kMessageFields).Number(static_cast<std::uint64_t>(m.kind)).Number(m.shard);
+  Write(to, m.ballot);
+  Write(to, m.other_ballot);
+  to.Number(m.generation)
+      .Number(m.sequence)
+      .Number(m.requester)
+      .Number(m.fingerprint)
+      .Array(m.entries.size());
   for (const Entry& entry : m.entries) {
-    to.Array(2 + 2u * entry.chain.size).Number(entry.want).Number(entry.wait_ms);
+    to.Array(2 + 2u * entry.chain.size).Number(entry.tokens).Number(entry.retry_after_ms);
     for (std::size_t i = 0; i < entry.chain.size; ++i)
       to.Number(entry.chain.buckets[i].ration).Number(entry.chain.buckets[i].of);
   }
 }
 
-// A parcel of so many messages that are written already.
-std::string Around(std::uint64_t seats, std::size_t messages, std::string_view body) {
-  std::string bytes(1, static_cast<char>(kLead));
-  bytes.reserve(body.size() + kAround);
-  MsgpackWriter(bytes).Array(3).Number(kForm).Number(seats).Array(messages).Raw(body);
+// A batch of messages that are encoded already.
+std::string EncodeBatch(std::uint64_t replica_set, std::size_t messages, std::string_view body) {
+  std::string bytes(1, static_cast<char>(kLeadByte));
+  bytes.reserve(body.size() + kMaxBatchOverhead);
+  MsgpackWriter(bytes).Array(3).Number(kFormatVersion).Number(replica_set).Array(messages).Raw(body);
   return bytes;
 }
 
-bool Read(MsgpackReader& from, Go& go) {
+bool Read(MsgpackReader& from, Ballot& ballot) {
   std::size_t fields = 0;
   return from.Array(fields, 4, 4)
-      .Number(go.round, kAny)
-      .Text(go.router, kMostName)
-      .Number(go.nonce, kAny)
-      .Number(go.number, kAny)
+      .Number(ballot.round, kAny)
+      .Text(ballot.router, kMaxRouterName)
+      .Number(ballot.nonce, kAny)
+      .Number(ballot.sequence, kAny)
       .fine();
 }
 
 bool Read(MsgpackReader& from, Entry& entry) {
   std::size_t fields = 0;
-  from.Array(fields, 4, 2 + 2 * kDeepest).Number(entry.want, kMostTokens).Number(entry.wait_ms, kMostWait);
+  from.Array(fields, 4, 2 + 2 * kDeepest)
+      .Number(entry.tokens, kMaxTokens)
+      .Number(entry.retry_after_ms, kMaxRetryAfterMs);
   if (!from.fine() || fields % 2 != 0) return false;
   entry.chain.size = static_cast<std::uint8_t>(fields / 2 - 1);
   for (std::size_t i = 0; i < entry.chain.size; ++i)
@@ -60,14 +66,18 @@
   return from.fine();
 }
 
+// `bytes`: of the whole batch; bounds the space reserved for entries.
 bool Read(MsgpackReader& from, Message& m, std::size_t bytes) {
   std::size_t fields = 0, entries = 0;
-  from.Array(fields, kFields, kFields)
-      .Number(m.kind, static_cast<std::uint64_t>(MessageKind::kElsewhere))
+  from.Array(fields, kMessageFields, kMessageFields)
+      .Number(m.kind, static_cast<std::uint64_t>(MessageKind::kRedirect))
       .Number(m.shard, kShards - 1);
-  if (!from.fine() || !Read(from, m.go) || !Read(from, m.met)) return false;
-  from.Number(m.life, kAny).Number(m.number, kAny).Number(m.drawer, kAny).Number(m.print, kAny);
-  from.Array(entries, 0, std::min(kMostEntries, bytes / kLeastEntry));
+  if (!from.fine() || !Read(from, m.ballot) || !Read(from, m.other_ballot)) return false;
+  from.Number(m.generation, kAny)
+      .Number(m.sequence, kAny)
+      .Number(m.requester, kAny)
+      .Number(m.fingerprint, kAny);
+  from.Array(entries, 0, std::min(kMaxEntries, bytes / kMinEntryBytes));
   m.entries.reserve(entries);
   for (; from.fine() && entries > 0; --entries) {
     if (!Read(from, m.entries.emplace_back())) return false;
@@ -77,11 +87,11 @@
 
 }  // namespace
 
-bool Parcel::Add(const Message& message, std::size_t most) {
+bool MessageBatch::Add(const Message& message, std::size_t max_bytes) {
   std::size_t before = body_.size();
   MsgpackWriter to(body_);
   Write(to, message);
-  if (messages_ > 0 && (body_.size() + kAround > most || messages_ >= kMostTogether)) {
+  if (messages_ > 0 && (body_.size() + kMaxBatchOverhead > max_bytes || messages_ >= kMaxMessages)) {
     body_.resize(before);
     return false;
   }
@@ -89,35 +99,35 @@
   return true;
 }
 
-std::string Parcel::Take() {
-  std::string bytes = Around(seats_, messages_, body_);
+std::string MessageBatch::TakeBytes() {
+  std::string bytes = EncodeBatch(replica_set_, messages_, body_);
   body_.clear();
   messages_ = 0;
   return bytes;
 }
 
-std::string Encode(std::uint64_t seats, const std::vector<Message>& messages) {
+std::string Encode(std::uint64_t replica_set, const std::vector<Message>& messages) {
   std::string body;
   MsgpackWriter to(body);
   for (const Message& message : messages) Write(to, message);
-  return Around(seats, messages.size(), body);
+  return EncodeBatch(replica_set, messages.size(), body);
 }
 
-DecodeError Decode(std::string_view bytes, std::uint64_t seats, std::vector<Message>& messages) {
+DecodeError Decode(std::string_view bytes, std::uint64_t replica_set, std::vector<Message>& messages) {
   messages.clear();
-  if (bytes.empty() || static_cast<unsigned char>(bytes[0]) != kLead) return DecodeError::kMalformed;
+  if (bytes.empty() || static_cast<unsigned char>(bytes[0]) != kLeadByte) return DecodeError::kMalformed;
   MsgpackReader from(bytes.substr(1));
-  std::size_t fields = 0, many = 0;
-  unsigned form = 0;
-  std::uint64_t its_seats = 0;
-  from.Array(fields, 3, 3).Number(form, kAny).Number(its_seats, kAny);
-  if (!from.fine() || form != kForm) return DecodeError::kMalformed;
-  from.Array(many, 0, kMostTogether);
-  if (from.fine() && its_seats != seats) return DecodeError::kReplicaSet;
-  for (; from.fine() && many > 0; --many) {
+  std::size_t fields = 0, count = 0;
+  unsigned version = 0;
+  std::uint64_t sender_replica_set = 0;
+  from.Array(fields, 3, 3).Number(version, kAny).Number(sender_replica_set, kAny);
+  if (!from.fine() || version != kFormatVersion) return DecodeError::kMalformed;
+  from.Array(count, 0, kMaxMessages);
+  if (from.fine() && sender_replica_set != replica_set) return DecodeError::kReplicaSet;
+  for (; from.fine() && count > 0; --count) {
     if (!Read(from, messages.emplace_back(), bytes.size())) break;
   }
-  if (many == 0 && from.done()) return DecodeError::kNone;
+  if (count == 0 && from.done()) return DecodeError::kNone;
   messages.clear();
   return DecodeError::kMalformed;
 }
--- a/src/rations/wire.h
+++ b/src/rations/wire.h
@@ -1,5 +1,5 @@
-// What routers say to each other about rations, as bytes: one byte that begins no other cargo, then
-// MessagePack, several messages at a time: [version, seats, messages...].
+// Encoding of quota messages: a lead byte that starts no other kind of peer payload, then MessagePack:
+// [version, replica set, messages...].
 #pragma once
 
 #include <cstddef>
@@ -13,32 +13,31 @@
 
 namespace peatbend::rations {
 
-constexpr unsigned char kLead = 0xc1;  // begins no MessagePack value
-constexpr unsigned kForm = 1;          // the version of the form; a reader takes its own alone
-constexpr std::size_t kMostTogether = 4096, kMostEntries = 16384;
+constexpr unsigned char kLeadByte = 0xc1;                        // never used by MessagePack
+constexpr unsigned kFormatVersion = 1;                           // readers accept no other
+constexpr std::size_t kMaxMessages = 4096, kMaxEntries = 16384;  // per batch; per message
 
-// Messages for one receiver, written one after another.
-class Parcel {
+// Encodes messages to one receiver, one after the other.
+class MessageBatch {
  public:
-  // `seats`: failover::ReplicaSet::print() of the sender; who reckons with other seats is not listened to.
-  explicit Parcel(std::uint64_t seats) : seats_(seats) {}
-  // False: with it the parcel would have more than `most` bytes, or too many messages, and stays as it was.
-  // The first is always taken.
-  bool Add(const Message& message, std::size_t most);
+  // `replica_set`: failover::ReplicaSet::print() of the sender; receivers with another one reject the batch.
+  explicit MessageBatch(std::uint64_t replica_set) : replica_set_(replica_set) {}
+  // Returns false and leaves the batch as it was if it would exceed `max_bytes` or kMaxMessages. The first
+  // message is always added.
+  bool Add(const Message& message, std::size_t max_bytes);
   std::size_t size() const { return messages_; }
-  // What is to be sent; the parcel is empty then.
-  std::string Take();
+  // Returns the encoded batch and clears it.
+  std::string TakeBytes();
 
  private:
-  std::uint64_t seats_;
+  std::uint64_t replica_set_;
   std::size_t messages_ = 0;
   std::string body_;
 };
-std::string Encode(std::uint64_t seats, const std::vector<Message>& messages);
+std::string Encode(std::uint64_t replica_set, const std::vector<Message>& messages);
 
 using net::DecodeError;
-// Reads what a stranger may have written. Never throws; `messages` is whole where there is no fault, else
-// empty.
-DecodeError Decode(std::string_view bytes, std::uint64_t seats, std::vector<Message>& messages);
+// Decodes untrusted bytes. Never throws; `messages` is empty unless kNone is returned.
+DecodeError Decode(std::string_view bytes, std::uint64_t replica_set, std::vector<Message>& messages);
 
 }  // namespace peatbend::rations
--- a/src/router/ration_office.cpp
+++ b/src/router/ration_office.cpp
@@ -56,16 +56,16 @@
   });
 }
 
-rations::OfficeOptions OptionsOf(const Config& config) {
-  rations::OfficeOptions options;
-  options.sits = Sits(config);
+rations::QuotaManagerOptions OptionsOf(const Config& config) {
+  rations::QuotaManagerOptions options;
+  options.is_replica = Sits(config);
   const Tuning::Quota& times = config.tuning.rations;
-  options.purse.routers = std::max(1, config.settings.proxies);
-  options.purse.draw_every = times.draw;
-  options.purse.again_every = times.again;
-  options.purse.alone_after = times.alone_after;
-  options.purse.idle = times.idle;
-  options.purse.buckets = options.keeper.buckets = static_cast<std::size_t>(times.buckets);
+  options.ledger.routers = std::max(1, config.settings.proxies);
+  options.ledger.request_interval = times.draw;
+  options.ledger.resend_interval = times.again;
+  options.ledger.unreachable_after = times.alone_after;
+  options.ledger.idle_request_delay = times.idle;
+  options.ledger.buckets = options.limits.buckets = static_cast<std::size_t>(times.buckets);
   return options;
 }
 
@@ -126,13 +126,13 @@
   asked.repeat = request.retry;
   asked.client = request.client;
   asked.key = request.key;
-  rations::Verdict verdict = office_.Take(peers::Peers::Now(), asked);
-  if (!verdict.within && verdict.over != rations::Over::kCountOnly) {
+  rations::Verdict verdict = office_.Admit(peers::Peers::Now(), asked);
+  if (!verdict.within_quota && verdict.over != rations::Over::kCountOnly) {
     event.allowance = verdict.over == rations::Over::kReject ? Allowance::kReject : Allowance::kLower;
-    event.come_back = verdict.come_back;
+    event.come_back = verdict.retry_after;
   }
-  // A request changes nothing but what the purse has to ask.
-  auto due = office_.purse().NextDue();
+  // A request changes nothing but the token requests that are due.
+  auto due = office_.ledger().NextDue();
   if (due && *due < armed_) Arm(*due);
 }
 
@@ -149,9 +149,9 @@
     return log_.Line("rations dropped", fmt::format("what {} says {}", from, Text(error)));
   }
   rations::Time now = peers::Peers::Now();
-  for (const rations::Message& message : messages) office_.Take(now, from, message);
+  for (const rations::Message& message : messages) office_.Receive(now, from, message);
   // At once, without a wake-up of its own; many that come together are dealt with together.
-  auto due = office_.Due();
+  auto due = office_.NextDue();
   if (due && *due <= now && now >= ticked_ + kTogether) return Tick();
   Flush();
 }
@@ -173,49 +173,49 @@
 }
 
 void RationOffice::Flush() {
-  auto send = [this](const std::string& to, rations::Parcel& parcel) {
-    std::string bytes = parcel.Take();
+  auto send = [this](const std::string& to, rations::MessageBatch& parcel) {
+    std::string bytes = parcel.TakeBytes();
     ++sent_;
     bytes_ += bytes.size();
     if (peers_ == nullptr || !peers_->Carry(to, std::move(bytes))) ++unreached_;
   };
-  std::vector<std::pair<std::string, rations::Parcel>> parcels;  // by receiver
-  for (const rations::Out& out : office_.TakeOut()) {
-    auto at = std::ranges::find(parcels, out.router, &std::pair<std::string, rations::Parcel>::first);
-    if (at == parcels.end()) at = parcels.insert(at, {out.router, rations::Parcel(print_)});
-    rations::Parcel& parcel = at->second;
+  std::vector<std::pair<std::string, rations::MessageBatch>> parcels;  // by receiver
+  for (const rations::Outgoing& out : office_.DrainOutgoing()) {
+    auto at = std::ranges::find(parcels, out.router, &std::pair<std::string, rations::MessageBatch>::first);
+    if (at == parcels.end()) at = parcels.insert(at, {out.router, rations::MessageBatch(print_)});
+    rations::MessageBatch& parcel = at->second;
     if (parcel.Add(out.message, peers::kMostBatch)) continue;
     send(out.router, parcel);
     parcel.Add(out.message, peers::kMostBatch);
   }
   for (auto& [to, parcel] : parcels) send(to, parcel);
   // Also later than it was: an answer that has come needs nobody to wake for it.
-  auto due = office_.Due();
+  auto due = office_.NextDue();
   if (due && *due != armed_) Arm(*due);
 }
 
 std::vector<std::pair<std::string, std::uint64_t>> RationOffice::Figures() const {
-  const rations::Purse::Figures& purse = office_.purse().figures();
-  const rations::Office::Figures& f = office_.figures();
+  const rations::CreditLedger::Metrics& purse = office_.ledger().metrics();
+  const rations::QuotaManager::Metrics& f = office_.metrics();
   return {{"book", office_.table().print},
-          {"within", purse.within},
-          {"over", purse.over},
-          {"alone", purse.alone},
-          {"owed", office_.purse().owed()},
-          {"buckets", office_.purse().buckets()},
-          {"draws", purse.draws},
-          {"draws_again", purse.again},
+          {"within", purse.within_quota},
+          {"over", purse.over_quota},
+          {"alone", purse.without_owner},
+          {"owed", office_.ledger().debt()},
+          {"buckets", office_.ledger().buckets()},
+          {"draws", purse.token_requests},
+          {"draws_again", purse.resends},
           {"granted", purse.granted},
           {"void_grants", purse.void_grants},
-          {"shards_kept", office_.kept()},
-          {"buckets_kept", office_.bucketsKept()},
-          {"goes", f.goes},
-          {"goes_begun", f.begun},
-          {"goes_lost", f.lost},
+          {"shards_kept", office_.owned_shards()},
+          {"buckets_kept", office_.owned_buckets()},
+          {"goes", f.elections},
+          {"goes_begun", f.elections_won},
+          {"goes_lost", f.ballots_lost},
           {"grants", f.grants},
           {"tokens", f.tokens},
-          {"other_book", f.other_book},
-          {"elsewhere", f.elsewhere},
+          {"other_book", f.config_mismatches},
+          {"elsewhere", f.redirects},
           {"sent", sent_},
           {"bytes_sent", bytes_},
           {"unreached", unreached_},
--- a/src/router/ration_office.h
+++ b/src/router/ration_office.h
@@ -1,5 +1,5 @@
-// A router's part in the rations of its fleet: its office, driven by the loop, and the way to the others' by
-// its peers. Switched off it is not made at all.
+// A router's part in the rations of its fleet: its quota manager, driven by the loop, and the way to the
+// others' by its peers. Switched off it is not made at all.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 #include "base/log.h"
 #include "config/config.h"
 #include "peers/peers.h"
-#include "rations/office.h"
+#include "rations/quota_manager.h"
 #include "stage/decision.h"
 #include "stage/rationing.h"
 
@@ -45,7 +45,7 @@
   Log& log_;
   failover::ReplicaSet seats_;
   std::uint64_t print_;  // of the seats and their addresses
-  rations::Office office_;
+  rations::QuotaManager office_;
   std::uint64_t dropped_ = 0, sent_ = 0, bytes_ = 0, unreached_ = 0;
   std::vector<std::string> zones_;              // that seats or members are in
   rations::Time armed_ = rations::Time::max();  // when it is to ring
--- a/tests/compat/processes_test.cpp
+++ b/tests/compat/processes_test.cpp
@@ -12,7 +12,7 @@
 const Pace kFirst{100, 20}, kLess{50, 10}, kLeast{20, 5};
 
 std::string Second(const Pace& pace, const std::string& retires = "") {
-  std::string book = BookOf(pace);
+  std::string book = ConfigWith(pace);
   return "book reads 2\n" + retires + book.substr(book.find('\n') + 1);
 }
 
@@ -20,7 +20,7 @@
  public:
   // Three seats. `old`: routers that read version 1 of the language alone.
   Fleet(std::size_t size, bool folders, std::vector<std::size_t> old = {}, std::size_t starts = 5)
-      : Rig(size, BookOf(kFirst), 3, starts, 4, [&](std::size_t node) {
+      : Rig(size, ConfigWith(kFirst), 3, starts, 4, [&](std::size_t node) {
           std::string more = std::ranges::count(old, node) > 0 ? "reads = 1\n" : "";
           more += "[publications]\nseats = [\"r0/a\", \"r1/a\", \"r2/a\"]\n";
           if (folders) more += fmt::format("folder = \"{}\"\nfound = true\n", Folder(node));
@@ -42,12 +42,12 @@
   }
   void Hup(std::size_t node) { fleet().process(node).Signal(SIGHUP); }
   void Propose(std::size_t node, const std::string& book) {
-    WriteBook(node, book);
+    WriteQuotas(node, book);
     Hup(node);
   }
   // Nothing of one that has not started yet.
   std::map<std::string, std::uint64_t> Told(std::size_t node) try {
-    return Figures(node);
+    return Metrics(node);
   } catch (const std::exception&) {
     return {};
   }
@@ -77,36 +77,36 @@
 
 TEST_CASE("publications book: one router proposes, all switch; half are told while requests flow") {
   Fleet fleet(5, false);
-  fleet.crowd().LetAll(10ms);
-  REQUIRE(fleet.Flows(50, 10s));
+  fleet.clients().SetIntervals(10ms);
+  REQUIRE(fleet.WaitForAdmissions(50, 10s));
   fleet.fleet().Split({3}, {0, 1, 2, 4}, true);
   fleet.CheckBound(kFirst, 5);
-  fleet.Propose(4, BookOf(kLess));
+  fleet.Propose(4, ConfigWith(kLess));
   CHECK(fleet.Until([&] { return fleet.Of(0, "book_holds") == 2 && fleet.Of(4, "book_holds") == 2; }, 10s));
-  CHECK(fleet.Flows(20, 5s));
+  CHECK(fleet.WaitForAdmissions(20, 5s));
   CHECK(fleet.Of(3, "book_holds") == 1);
   fleet.fleet().Split({3}, {0, 1, 2, 4}, false);
   CHECK(fleet.Hold(2, 5));
   auto switched = Clock::now();
-  CHECK(fleet.Flows(30, 5s));
+  CHECK(fleet.WaitForAdmissions(30, 5s));
   fleet.CheckBound(kLess, 5, switched);
   // The file at the others is the former: that is no proposal.
   fleet.Hup(1);
-  fleet.Propose(1, BookOf(kLeast));
+  fleet.Propose(1, ConfigWith(kLeast));
   CHECK(fleet.Hold(3, 5));
   switched = Clock::now();
-  CHECK(fleet.Flows(30, 5s));
+  CHECK(fleet.WaitForAdmissions(30, 5s));
   fleet.CheckBound(kLeast, 5, switched);
 }
 
 TEST_CASE("publications parts: two books in two halves, of which one is accepted and the other refused") {
   Fleet fleet(5, false);
-  fleet.crowd().LetAll(20ms);
+  fleet.clients().SetIntervals(20ms);
   fleet.fleet().Split({0, 3}, {1, 2, 4}, true);
-  CHECK(fleet.Flows(30, 5s));
+  CHECK(fleet.WaitForAdmissions(30, 5s));
   fleet.CheckBound(kFirst, 5);
-  fleet.Propose(3, BookOf(kLeast));
-  fleet.Propose(4, BookOf(kLess));
+  fleet.Propose(3, ConfigWith(kLeast));
+  fleet.Propose(4, ConfigWith(kLess));
   CHECK(fleet.Until([&] { return fleet.Of(4, "book_holds") == 2 && fleet.Of(1, "book_holds") == 2; }, 10s));
   CHECK(fleet.Of(3, "book_accepted") == 1);
   CHECK(fleet.Of(0, "book_accepted") == 1);
@@ -115,14 +115,14 @@
   CHECK(fleet.Hold(2, 5));
   CHECK(net::AskRouter(fleet.Admin(3), "DUMP").find("publications.book_refused=book ") != std::string::npos);
   auto switched = Clock::now();
-  CHECK(fleet.Flows(30, 5s));
+  CHECK(fleet.WaitForAdmissions(30, 5s));
   fleet.CheckBound(kLess, 5, switched);
 }
 
 TEST_CASE(
     "publications language: a book that one cannot read, or none; silence is not retirement, a word is") {
   Fleet fleet(6, false, {3, 5});
-  fleet.crowd().LetAll(20ms);
+  fleet.clients().SetIntervals(20ms);
   fleet.Propose(4, Second(kLess));
   CHECK(fleet.Logged(4, "language 2 is not read, read by r3; r3: statement 1, heard now; the former holds"));
   fleet.Propose(4, "book reads 3\n");
@@ -131,7 +131,7 @@
   fleet.Propose(4, Second(kLeast));
   CHECK(fleet.Until([&] { return fleet.Of(4, "refused") == 2; }, 10s));
   CHECK(fleet.Of(4, "book_holds") == 1);
-  CHECK(fleet.Flows(20, 5s));
+  CHECK(fleet.WaitForAdmissions(20, 5s));
   fleet.CheckBound(kFirst, 5);
   // One that reads the old language alone joins in this moment: it counts, or it may not read.
   fleet.fleet().Start(5);
@@ -152,7 +152,7 @@
   fleet.fleet().Start(3);
   CHECK(fleet.Logged(3, "this router may not read the books of its fleet"));
   CHECK(fleet.Of(3, "book_holds") == 0);
-  CHECK(fleet.Flows(30, 5s));
+  CHECK(fleet.WaitForAdmissions(30, 5s));
   fleet.CheckBound(kLess, 6, switched);
 }
 
@@ -160,9 +160,9 @@
   Fleet fleet(5, true);
   for (std::size_t seat : {0, 1, 2}) fleet.fleet().Kill(seat);
   for (std::size_t seat : {0, 1, 2}) fleet.fleet().Start(seat);
-  fleet.Propose(4, BookOf(kLess));
+  fleet.Propose(4, ConfigWith(kLess));
   CHECK(fleet.Hold(2, 5));
-  pid_t old = fleet.Follow(0);  // an upgrade: the folder goes over
+  pid_t old = fleet.StartSuccessor(0);  // an upgrade: the folder goes over
   CHECK(fleet.Until([&] { return fleet.Of(0, "votes") == 1 && fleet.Of(0, "book_holds") == 2; }, 10s));
   CHECK(fleet.Of(0, "words") == 0);
   kill(old, SIGTERM);
@@ -173,7 +173,7 @@
   file.close();
   fleet.fleet().Start(0);
   CHECK(fleet.Logged(0, "register: its checksum is wrong; move it away and start again"));
-  fleet.Propose(4, BookOf(kLeast));  // the two others accept it
+  fleet.Propose(4, ConfigWith(kLeast));  // the two others accept it
   CHECK(fleet.Hold(3, 5));
   CHECK(fleet.Of(0, "votes") == 0);
   fleet.fleet().Kill(0);
@@ -190,12 +190,12 @@
   CHECK(fleet.Logged(0, "publications.found at a start without a folder founds nothing"));
   CHECK(fleet.Until([&] { return fleet.Of(0, "votes") == 1; }, 10s));
   fleet.fleet().Kill(1);
-  fleet.Propose(4, BookOf(kLess));
+  fleet.Propose(4, ConfigWith(kLess));
   CHECK(fleet.Until([&] { return fleet.Of(4, "book_holds") == 2; }, 10s));
   fleet.fleet().Kill(0);
   for (std::size_t seat : {0, 1}) fleet.fleet().Start(seat);
-  fleet.Propose(4, BookOf(kLeast));
-  fleet.Pause(2s);
+  fleet.Propose(4, ConfigWith(kLeast));
+  fleet.Sleep(2s);
   CHECK(fleet.Of(4, "book_accepted") == 2);
   CHECK(fleet.Of(4, "waiting") == 1);
   CHECK(fleet.Of(0, "votes") + fleet.Of(1, "votes") == 0);
--- a/tests/fuzz/rations_fuzz.cpp
+++ b/tests/fuzz/rations_fuzz.cpp
@@ -1,5 +1,5 @@
-// Whatever bytes come from a peer as rations: decoded, and what decodes is taken by an office that draws,
-// keeps and has seats. Built with clang and libFuzzer (scripts/fuzz).
+// Decodes arbitrary bytes as quota messages from a peer and passes what decodes to a quota manager that
+// requests tokens, owns shards and is a replica. Built with clang and libFuzzer (scripts/fuzz).
 #include <algorithm>
 #include <cstddef>
 #include <cstdint>
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "rations/office.h"
+#include "rations/quota_manager.h"
 #include "rations/wire.h"
 
 using namespace peatbend;
@@ -19,9 +19,9 @@
 namespace {
 
 constexpr std::uint64_t kOwnNonce = 7;
-const std::vector<failover::ReplicaName> kSeatNames{{"me", "a"}, {"other", "b"}, {"third", "c"}};
+const std::vector<failover::ReplicaName> kReplicaNames{{"me", "a"}, {"other", "b"}, {"third", "c"}};
 
-std::shared_ptr<const Table> TheTable() {
+std::shared_ptr<const Table> TestTable() {
   auto table = std::make_shared<Table>();
   table->print = 5;
   table->rations.push_back({.name = "all", .pace = {100, 20}});
@@ -29,76 +29,77 @@
   return table;
 }
 
-// A whole message of each kind, such as the office waits for, for the fuzzer to spoil.
-std::string Sample(unsigned which, std::uint64_t seats) {
+// A valid message of each kind that the manager expects, for the fuzzer to mutate.
+std::string Sample(unsigned which, std::uint64_t replica_set) {
   Asked asked;
   asked.client = 1 + which / 8 % 3;
-  static const auto table = TheTable();
+  static const auto table = TestTable();
   Chain chain = table->ChainOf(asked);
   Message m;
   m.kind = static_cast<MessageKind>(which % 8);
   m.shard = ShardOf(chain);
-  m.go = {1 + which / 24 % 3, which / 72 % 2 == 0 ? "me" : "other", which / 72 % 2 == 0 ? kOwnNonce : 9, 1};
-  m.met = {2, "third", 11, 1};
-  m.life = m.kind == MessageKind::kConfirm ? kOwnNonce : 3;
-  m.number = 1 + which / 144 % 3;
-  m.drawer = m.kind == MessageKind::kGrant ? kOwnNonce : 9;
-  m.print = table->print;
-  if (m.kind == MessageKind::kDraw || m.kind == MessageKind::kGrant)
+  m.ballot = {1 + which / 24 % 3, which / 72 % 2 == 0 ? "me" : "other", which / 72 % 2 == 0 ? kOwnNonce : 9,
+              1};
+  m.other_ballot = {2, "third", 11, 1};
+  m.generation = m.kind == MessageKind::kConfirm ? kOwnNonce : 3;
+  m.sequence = 1 + which / 144 % 3;
+  m.requester = m.kind == MessageKind::kGrant ? kOwnNonce : 9;
+  m.fingerprint = table->print;
+  if (m.kind == MessageKind::kTokenRequest || m.kind == MessageKind::kGrant)
     m.entries.push_back({chain, 1 + which / 432 % 100, 10});
-  return Encode(seats, {m, m});
+  return Encode(replica_set, {m, m});
 }
 
 }  // namespace
 
-extern "C" std::size_t LLVMFuzzerMutate(std::uint8_t* data, std::size_t size, std::size_t most);
+extern "C" std::size_t LLVMFuzzerMutate(std::uint8_t* data, std::size_t size, std::size_t max_size);
 
-extern "C" std::size_t LLVMFuzzerCustomMutator(std::uint8_t* data, std::size_t size, std::size_t most,
+extern "C" std::size_t LLVMFuzzerCustomMutator(std::uint8_t* data, std::size_t size, std::size_t max_size,
                                                unsigned seed) {
-  static const failover::ReplicaSet seats(kSeatNames);
+  static const failover::ReplicaSet replicas(kReplicaNames);
   if (seed % 4 == 0) {
-    std::string sample = Sample(seed / 8, seats.print());
-    size = std::min(sample.size(), most);
+    std::string sample = Sample(seed / 8, replicas.print());
+    size = std::min(sample.size(), max_size);
     std::copy_n(sample.begin(), size, data);
     if (seed % 8 == 0) return size;
   }
-  return LLVMFuzzerMutate(data, size, most);
+  return LLVMFuzzerMutate(data, size, max_size);
 }
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  static const failover::ReplicaSet seats(kSeatNames);
-  static const auto table = TheTable();
+  static const failover::ReplicaSet replicas(kReplicaNames);
+  static const auto table = TestTable();
   std::string_view bytes(reinterpret_cast<const char*>(data), size);
   std::vector<Message> messages, again;
-  if (Decode(bytes, seats.print(), messages) != DecodeError::kNone)
+  if (Decode(bytes, replicas.print(), messages) != DecodeError::kNone)
     return messages.empty() ? 0 : (std::abort(), 0);
-  // What was read is read alike once it is written anew.
-  if (Decode(Encode(seats.print(), messages), seats.print(), again) != DecodeError::kNone ||
+  // What was decoded decodes to the same once it is encoded again.
+  if (Decode(Encode(replicas.print(), messages), replicas.print(), again) != DecodeError::kNone ||
       again != messages)
     std::abort();
   Time now = 10s;
-  Office office({}, seats, "me", kOwnNonce, 1, table, now, [](const std::string&) { return true; });
-  std::vector<Out> said;
+  QuotaManager manager({}, replicas, "me", kOwnNonce, 1, table, now, [](const std::string&) { return true; });
+  std::vector<Outgoing> sent;
   auto step = [&](Span span) {
     for (std::uint64_t client : {1, 2, 3}) {
       Asked asked;
       asked.client = client;
-      office.Take(now, asked);
+      manager.Admit(now, asked);
     }
-    office.Tick(now += span, 1'800'000'000, kNoSign);
-    for (Out& out : office.TakeOut()) said.push_back(std::move(out));
+    manager.Tick(now += span, 1'800'000'000, kNoSign);
+    for (Outgoing& out : manager.DrainOutgoing()) sent.push_back(std::move(out));
   };
   step(0ms);
   for (const char* from : {"other", "third", "me", "stranger", "other"}) {
-    for (const Message& message : messages) office.Take(now, from, message);
+    for (const Message& message : messages) manager.Receive(now, from, message);
     step(15ms);
   }
   step(600ms);
-  // Whatever is granted, no more is owed than may be; and what it says can be read by others.
+  // Whatever was granted, the debt is within its limit, and every message sent can be decoded.
   Bucket root = table->ChainOf({}).root();
-  if (office.purse().owed(root) > AheadOf(table->rations[0].pace)) std::abort();
-  for (const Out& out : said) {
-    if (Decode(Encode(seats.print(), {out.message}), seats.print(), again) != DecodeError::kNone)
+  if (manager.ledger().debt(root) > AheadOf(table->rations[0].pace)) std::abort();
+  for (const Outgoing& out : sent) {
+    if (Decode(Encode(replicas.print(), {out.message}), replicas.print(), again) != DecodeError::kNone)
       std::abort();
   }
   return 0;
--- a/tests/rations/hard_cases_test.cpp
+++ b/tests/rations/hard_cases_test.cpp
@@ -1,5 +1,6 @@
-// Hard cases for rations kept by real processes: what reaches them late or twice, a book half told, clients
-// that come back when they are told to. What was admitted is counted by the clients.
+// Hard cases of quotas shared by router processes: grants that arrive late or twice, a change of the quota
+// configuration that reaches only some routers, clients that retry when they are told to. Admitted requests
+// are counted by the clients.
 #include <csignal>
 
 #include "rations/process_rig.h"
@@ -7,90 +8,92 @@
 namespace peatbend::rations::test {
 namespace {
 
-TEST_CASE("rations parts: in parts of one, two and two with all demand at the one") {
-  Rig rig(5, BookOf(kEven), 3, 5);
-  rig.crowd().Let(0, 5ms);
-  REQUIRE(rig.Flows(50, 5s));
+TEST_CASE("rations parts: a partition into one, two and two routers, with all demand at the single one") {
+  Rig rig(5, ConfigWith(kDefaultPace), 3, 5);
+  rig.clients().SetInterval(0, 5ms);
+  REQUIRE(rig.WaitForAdmissions(50, 5s));
   rig.SplitInThree(true);
-  rig.Pause(50ms);
+  rig.Sleep(50ms);
   auto cut = Clock::now();
-  rig.Pause(1s);
-  CHECK(rig.crowd().Admitted(cut) <= AheadOf(kEven));
+  rig.Sleep(1s);
+  CHECK(rig.clients().Admitted(cut) <= AheadOf(kDefaultPace));
   rig.SplitInThree(false);
-  CHECK(rig.Flows(50, 2s));
-  rig.CheckBound(kEven, 5);
+  CHECK(rig.WaitForAdmissions(50, 2s));
+  rig.CheckBound(kDefaultPace, 5);
 }
 
-TEST_CASE("rations answers: those that come late or twice are void") {
-  Rig rig(5, BookOf(kEven), 3, 5);
-  rig.crowd().Let(3, 10ms);
-  rig.crowd().Let(4, 10ms);
-  REQUIRE(rig.Flows(50, 5s));
-  auto voids = [&] { return rig.Figures(4)["rations.void_grants"]; };
-  std::uint64_t before = voids();
+TEST_CASE("rations answers: grants that arrive late or twice are ignored") {
+  Rig rig(5, ConfigWith(kDefaultPace), 3, 5);
+  rig.clients().SetInterval(3, 10ms);
+  rig.clients().SetInterval(4, 10ms);
+  REQUIRE(rig.WaitForAdmissions(50, 5s));
+  auto void_grants = [&] { return rig.Metrics(4)["rations.void_grants"]; };
+  std::uint64_t before = void_grants();
   for (int i = 0; i < 2; ++i) {
-    std::size_t keeper = rig.Keeper();
-    rig.fleet().links().Set(keeper, 4, {.hold = true});
-    rig.Pause(600ms);
-    rig.fleet().links().Set(keeper, 4, {});
-    CHECK(rig.Flows(30, 2s));
+    std::size_t owner = rig.Owner();
+    rig.fleet().links().Set(owner, 4, {.hold = true});
+    rig.Sleep(600ms);
+    rig.fleet().links().Set(owner, 4, {});
+    CHECK(rig.WaitForAdmissions(30, 2s));
   }
-  CHECK(rig.Until([&] { return voids() > before; }, 2s));
-  before = voids();
+  CHECK(rig.Until([&] { return void_grants() > before; }, 2s));
+  before = void_grants();
   rig.fleet().links().SetAll({.duplicate = 1});
-  CHECK(rig.Flows(50, 4s));
-  CHECK(rig.Until([&] { return voids() > before; }, 2s));
-  rig.CheckBound(kEven, 5);
+  CHECK(rig.WaitForAdmissions(50, 4s));
+  CHECK(rig.Until([&] { return void_grants() > before; }, 2s));
+  rig.CheckBound(kDefaultPace, 5);
 }
 
-// Requests are out at the member all the time, so some are out while their router changes books.
-TEST_CASE("rations books: another book half told; each book's own bound holds, and who waits is answered") {
-  const Pace less{50, 10};
-  Rig rig(5, BookOf(kEven), 3, 5, 12);
-  rig.crowd().TakeLong(400ms);
-  rig.crowd().LetAll(10ms);
-  REQUIRE(rig.Flows(60, 5s));
-  std::vector<Clock::time_point> told(5), holds(5);
-  std::uint64_t former = rig.Figures(0)["rations.book"];
-  auto tell = [&](std::size_t node) {
-    rig.WriteBook(node, BookOf(less));
-    told[node] = Clock::now();
+// The cache server is slow, so requests are outstanding while their router changes the configuration.
+TEST_CASE(
+    "rations books: a configuration that only some routers have; the bound of each holds, and all are "
+    "answered") {
+  const Pace lower{50, 10};
+  Rig rig(5, ConfigWith(kDefaultPace), 3, 5, 12);
+  rig.clients().SetServiceTime(400ms);
+  rig.clients().SetIntervals(10ms);
+  REQUIRE(rig.WaitForAdmissions(60, 5s));
+  std::vector<Clock::time_point> sent(5), in_force(5);
+  std::uint64_t former = rig.Metrics(0)["rations.book"];
+  auto change = [&](std::size_t node) {
+    rig.WriteQuotas(node, ConfigWith(lower));
+    sent[node] = Clock::now();
     rig.fleet().process(node).Signal(SIGHUP);
-    CHECK(rig.Until([&] { return rig.Figures(node)["rations.book"] != former; }, 2s));
-    holds[node] = Clock::now();
+    CHECK(rig.Until([&] { return rig.Metrics(node)["rations.book"] != former; }, 2s));
+    in_force[node] = Clock::now();
   };
-  tell(0);
-  tell(3);
-  rig.Pause(500ms);
-  for (std::size_t node : {1, 2, 4}) tell(node);
-  CHECK(rig.Flows(50, 4s));
-  std::vector<Admission> under_former, under_less;
-  std::size_t waited = 0;
-  for (const Admission& one : rig.crowd().Admissions()) {
-    waited += one.sent < told[one.router] && one.received > holds[one.router] ? 1 : 0;
-    if (one.sent < told[one.router]) under_former.push_back(one);
-    if (one.sent > holds[one.router]) under_less.push_back(one);
+  change(0);
+  change(3);
+  rig.Sleep(500ms);
+  for (std::size_t node : {1, 2, 4}) change(node);
+  CHECK(rig.WaitForAdmissions(50, 4s));
+  std::vector<Admission> under_former, under_lower;
+  std::size_t spanning = 0;  // sent before the change and answered after it
+  for (const Admission& one : rig.clients().Admissions()) {
+    spanning += one.sent < sent[one.router] && one.received > in_force[one.router] ? 1 : 0;
+    if (one.sent < sent[one.router]) under_former.push_back(one);
+    if (one.sent > in_force[one.router]) under_lower.push_back(one);
   }
-  CHECK(waited > 0);
-  CHECK(under_less.size() >= 40);
-  CHECK(MostAbove(under_former, kEven.rate, kEven.burst, 5 * AheadOf(kEven)) <= 1);
-  CHECK(MostAbove(under_less, less.rate, less.burst, 5 * AheadOf(less)) <= 1);
+  CHECK(spanning > 0);
+  CHECK(under_lower.size() >= 40);
+  CHECK(MaxExcess(under_former, kDefaultPace.rate, kDefaultPace.burst, 5 * AheadOf(kDefaultPace)) <= 1);
+  CHECK(MaxExcess(under_lower, lower.rate, lower.burst, 5 * AheadOf(lower)) <= 1);
 }
 
-TEST_CASE("rations back: clients that all ask at once and come back when they are told to are all served") {
-  Rig rig(5, BookOf(kEven), 3, 5, 40);
-  rig.crowd().Obey();
-  rig.crowd().LetAll(1ms);
-  REQUIRE(rig.Flows(100, 5s));
-  rig.fleet().Kill(rig.Keeper());  // those that it kept for are told to come back too
-  CHECK(rig.Flows(100, 5s));
+TEST_CASE("rations back: clients that all ask at once and honor the retry time are all served") {
+  Rig rig(5, ConfigWith(kDefaultPace), 3, 5, 40);
+  rig.clients().HonorRetryAfter();
+  rig.clients().SetIntervals(1ms);
+  REQUIRE(rig.WaitForAdmissions(100, 5s));
+  rig.fleet().Kill(rig.Owner());  // the clients that it served are rejected as well
+  CHECK(rig.WaitForAdmissions(100, 5s));
   auto from = Clock::now();
-  std::uint64_t told = rig.crowd().told();
-  rig.Pause(1s);
-  CHECK(static_cast<double>(rig.crowd().Admitted(from)) >= 0.8 * kEven.rate);
-  MESSAGE("told to come back for each admitted: ",
-          static_cast<double>(rig.crowd().told() - told) / static_cast<double>(rig.crowd().Admitted(from)));
-  rig.CheckBound(kEven, 5);
+  std::uint64_t rejected = rig.clients().rejected();
+  rig.Sleep(1s);
+  CHECK(static_cast<double>(rig.clients().Admitted(from)) >= 0.8 * kDefaultPace.rate);
+  MESSAGE("rejections per admission: ", static_cast<double>(rig.clients().rejected() - rejected) /
+                                            static_cast<double>(rig.clients().Admitted(from)));
+  rig.CheckBound(kDefaultPace, 5);
 }
 
 }  // namespace
--- a/tests/rations/parts_test.cpp
+++ b/tests/rations/parts_test.cpp
@@ -1,12 +1,12 @@
-// The parts of rations, one sentence of their headers after the other.
+// The quota table, the buckets of a shard, the credit ledger and its hash index, each by itself.
 #include <chrono>
 #include <iostream>
 #include <map>
 
 #include "doctest/doctest.h"
 #include "rations/books.h"
-#include "rations/keeper.h"
-#include "rations/purse.h"
+#include "rations/credit_ledger.h"
+#include "rations/shard_buckets.h"
 
 namespace peatbend::rations {
 namespace {
@@ -14,7 +14,7 @@
 using namespace std::chrono_literals;
 using namespace test;
 
-TEST_CASE("table: a request counts in the ration furthest inside and in those around it") {
+TEST_CASE("table: a request counts in the innermost quota and in those that enclose it") {
   Ration all = Of({100, 10}), writes = Of({10, 5}, 0, kPerTenant),
          gold = Of({5, 5}, 1, kPerClient | kPerKeyGroup);
   writes.kind = Kind::kWrites;
@@ -46,7 +46,7 @@
   }
 }
 
-TEST_CASE("table: the first change that holds counts") {
+TEST_CASE("table: the first change that applies is in force") {
   Ration one = Of({100, 10});
   one.changes = {{10, 20, kOriginStrained, {5, 1}}, {0, 20, kNoSign, {50, 30}}};
   Table table = TableOf({one});
@@ -58,276 +58,284 @@
   CHECK(AheadOf({2, 50}) == 1);
 }
 
-struct Kept2 {
+struct ShardBucketsFixture {
   Table table;
-  Keeper keeper;
-  explicit Kept2(std::vector<Ration> rations, KeeperLimits limits = {})
-      : table(TableOf(std::move(rations))), keeper(table, limits, 100s, 0) {}
-  std::uint32_t Draw(const Asked& asked, std::uint32_t want) {
-    return keeper.Draw({Want(table.ChainOf(asked), want)})[0].want;
+  ShardBuckets buckets;
+  explicit ShardBucketsFixture(std::vector<Ration> rations, ShardLimits limits = {})
+      : table(TableOf(std::move(rations))), buckets(table, limits, 100s, 0) {}
+  std::uint32_t Grant(const Asked& asked, std::uint32_t tokens) {
+    return buckets.Grant({Want(table.ChainOf(asked), tokens)})[0].tokens;
   }
 };
 
-TEST_CASE("keeper: a bucket begins empty, fills with time, and holds its burst") {
-  Kept2 at({Of({10, 5})});
-  CHECK(at.Draw(By(0), 9) == 0);
-  at.keeper.SetTime(100s + 250ms, 0, kNoSign);
-  CHECK(at.Draw(By(0), 9) == 2);
-  at.keeper.SetTime(200s, 0, kNoSign);
-  CHECK(at.Draw(By(0), 9) == 5);
-  auto lacks = at.keeper.Draw({Want(at.table.ChainOf(By(0)), 3)})[0];
-  CHECK(lacks.want == 0);
-  CHECK(lacks.wait_ms >= 100);
+TEST_CASE("shard buckets: a bucket starts empty, refills with time, and holds its burst") {
+  ShardBucketsFixture at({Of({10, 5})});
+  CHECK(at.Grant(By(0), 9) == 0);
+  at.buckets.SetTime(100s + 250ms, 0, kNoSign);
+  CHECK(at.Grant(By(0), 9) == 2);
+  at.buckets.SetTime(200s, 0, kNoSign);
+  CHECK(at.Grant(By(0), 9) == 5);
+  auto grant = at.buckets.Grant({Want(at.table.ChainOf(By(0)), 3)})[0];
+  CHECK(grant.tokens == 0);
+  CHECK(grant.retry_after_ms >= 100);
 }
 
-TEST_CASE("keeper: follows what the fleet sees, from then on") {
+TEST_CASE("shard buckets: a load signal changes the rates from then on") {
   Ration one = Of({10, 50});
   one.changes = {{INT64_MIN, INT64_MAX, kOriginStrained, {2, 8}}};
-  Kept2 at({one});
-  at.keeper.SetTime(102s, 0, kOriginStrained);
-  CHECK(at.Draw(By(0), 99) == 8);
-  at.keeper.SetTime(103s, 0, kNoSign);
-  CHECK(at.Draw(By(0), 99) == 2);
-  at.keeper.SetTime(104s, 0, kOriginStrained);
-  CHECK(at.Draw(By(0), 99) == 8);
+  ShardBucketsFixture at({one});
+  at.buckets.SetTime(102s, 0, kOriginStrained);
+  CHECK(at.Grant(By(0), 99) == 8);
+  at.buckets.SetTime(103s, 0, kNoSign);
+  CHECK(at.Grant(By(0), 99) == 2);
+  at.buckets.SetTime(104s, 0, kOriginStrained);
+  CHECK(at.Grant(By(0), 99) == 8);
 }
 
-TEST_CASE("keeper: a token counts in its own bucket alone, and each around it pays its own") {
-  Kept2 at({Of({10, 10}), Of({8, 8}, 0, kPerClient)});
-  at.keeper.SetTime(200s, 0, kNoSign);
-  CHECK(at.Draw(By(0, 1), 20) == 8);
-  CHECK(at.Draw(By(0, 2), 20) == 8);
+TEST_CASE("shard buckets: a token counts in its own bucket only, and enclosing buckets grant their own") {
+  ShardBucketsFixture at({Of({10, 10}), Of({8, 8}, 0, kPerClient)});
+  at.buckets.SetTime(200s, 0, kNoSign);
+  CHECK(at.Grant(By(0, 1), 20) == 8);
+  CHECK(at.Grant(By(0, 2), 20) == 8);
   Chain above = Above(at.table.ChainOf(By(0, 1)));
-  CHECK(at.keeper.Draw({Want(above, 20)})[0].want == 10);
+  CHECK(at.buckets.Grant({Want(above, 20)})[0].tokens == 10);
 }
 
-TEST_CASE("keeper: who borrows has what is wanted while those above are over half full, else its own") {
-  auto lent = Of({1, 2}, 0);
-  lent.borrows = true;
-  Kept2 at({Of({100, 100}), lent});
-  at.keeper.SetTime(200s, 0, kNoSign);
-  CHECK(at.Draw(By(0), 90) == 90);
-  CHECK(at.keeper.Level({1, 0}) == 0);
-  CHECK(at.keeper.Draw({Want(Above(at.table.ChainOf(By(0))), 50)})[0].want == 50);
-  CHECK(at.Draw(By(0), 90) == 0);
-  at.keeper.SetTime(201s, 0, kNoSign);
-  CHECK(at.Draw(By(0), 1'000'000'000) == 1'000'000'000);
+TEST_CASE(
+    "shard buckets: a borrowing quota gets all it requests while the enclosing ones are over half full, else "
+    "its own") {
+  auto borrower = Of({1, 2}, 0);
+  borrower.borrows = true;
+  ShardBucketsFixture at({Of({100, 100}), borrower});
+  at.buckets.SetTime(200s, 0, kNoSign);
+  CHECK(at.Grant(By(0), 90) == 90);
+  CHECK(at.buckets.Tokens({1, 0}) == 0);
+  CHECK(at.buckets.Grant({Want(Above(at.table.ChainOf(By(0))), 50)})[0].tokens == 50);
+  CHECK(at.Grant(By(0), 90) == 0);
+  at.buckets.SetTime(201s, 0, kNoSign);
+  CHECK(at.Grant(By(0), 1'000'000'000) == 1'000'000'000);
 }
 
-TEST_CASE("keeper: what is scarce is dealt round among the drawers of one turn") {
-  Kept2 at({Of({1, 100})});
-  at.keeper.SetTime(300s, 0, kNoSign);
+TEST_CASE("shard buckets: scarce tokens are distributed evenly among the requesters of one batch") {
+  ShardBucketsFixture at({Of({1, 100})});
+  at.buckets.SetTime(300s, 0, kNoSign);
   Chain chain = at.table.ChainOf(By(0));
-  auto answers = at.keeper.DrawAll({{Want(chain, 500)}, {Want(chain, 10)}, {Want(chain, 500)}});
-  CHECK(answers[1][0].want == 10);
-  CHECK(answers[0][0].want + answers[2][0].want == 90);
-  CHECK(std::max(answers[0][0].want, answers[2][0].want) <= 46);
+  auto answers = at.buckets.GrantAll({{Want(chain, 500)}, {Want(chain, 10)}, {Want(chain, 500)}});
+  CHECK(answers[1][0].tokens == 10);
+  CHECK(answers[0][0].tokens + answers[2][0].tokens == 90);
+  CHECK(std::max(answers[0][0].tokens, answers[2][0].tokens) <= 46);
 }
 
-TEST_CASE("keeper: beyond its room buckets share one, and none has more by it, then or later") {
-  Kept2 at({Of({1, 10}, -1, kPerClient)}, {.buckets = 2});
-  at.keeper.SetTime(200s, 0, kNoSign);
-  for (std::uint64_t client : {1, 2}) CHECK(at.Draw(By(0, client), 6) == 6);
-  CHECK(at.Draw(By(0, 3), 6) == 6);
-  CHECK(at.Draw(By(0, 4), 6) == 4);
-  CHECK(at.keeper.buckets() == 2);
-  at.keeper.SetTime(206s, 0, kNoSign);
-  at.keeper.Forget();
-  // One and two are full again and the shared one is not: they may be forgotten, and whoever comes has what
-  // is shared.
-  CHECK(at.keeper.buckets() == 0);
-  CHECK(at.Draw(By(0, 3), 20) == 6);
-  at.keeper.SetTime(400s, 0, kNoSign);
-  at.keeper.Forget();
-  CHECK(at.Draw(By(0, 3), 20) == 10);
+TEST_CASE("shard buckets: beyond the limit buckets share one, and none gains tokens by it, then or later") {
+  ShardBucketsFixture at({Of({1, 10}, -1, kPerClient)}, {.buckets = 2});
+  at.buckets.SetTime(200s, 0, kNoSign);
+  for (std::uint64_t client : {1, 2}) CHECK(at.Grant(By(0, client), 6) == 6);
+  CHECK(at.Grant(By(0, 3), 6) == 6);
+  CHECK(at.Grant(By(0, 4), 6) == 4);
+  CHECK(at.buckets.buckets() == 2);
+  at.buckets.SetTime(206s, 0, kNoSign);
+  at.buckets.EvictRefilled();
+  // Buckets 1 and 2 are full again and the shared one is not: they are evicted, and later requests use the
+  // shared one.
+  CHECK(at.buckets.buckets() == 0);
+  CHECK(at.Grant(By(0, 3), 20) == 6);
+  at.buckets.SetTime(400s, 0, kNoSign);
+  at.buckets.EvictRefilled();
+  CHECK(at.Grant(By(0, 3), 20) == 10);
 }
 
-// ---- The purse --------------------------------------------------------------------------------------------
+// ---- CreditLedger -----------------------------------------------------------------------------------------
 
-struct Purse2 {
+struct LedgerFixture {
   Table table;
-  Purse::Options options;
-  Purse purse;
-  std::vector<Message> draws;
-  explicit Purse2(std::vector<Ration> rations, Purse::Options given = {})
-      : table(TableOf(std::move(rations))), options(given), purse(table, options, 5, 1, 0s) {}
-  std::vector<Message> Due(Time now) {
-    draws.clear();
-    purse.Due(now, draws);
-    return draws;
+  CreditLedger::Options options;
+  CreditLedger ledger;
+  std::vector<Message> requests;
+  explicit LedgerFixture(std::vector<Ration> rations, CreditLedger::Options given = {})
+      : table(TableOf(std::move(rations))), options(given), ledger(table, options, 5, 1, 0s) {}
+  std::vector<Message> CollectRequests(Time now) {
+    requests.clear();
+    ledger.CollectRequests(now, requests);
+    return requests;
   }
   int Within(Time now, int times, const Asked& asked) {
     int within = 0;
-    for (int i = 0; i < times; ++i) within += purse.Take(now, asked).within ? 1 : 0;
+    for (int i = 0; i < times; ++i) within += ledger.Admit(now, asked).within_quota ? 1 : 0;
     return within;
   }
-  bool Grant(Time now, const Message& draw, std::uint32_t given, std::uint64_t round = 1) {
-    Message grant = draw;
+  bool Grant(Time now, const Message& request, std::uint32_t tokens, std::uint64_t round = 1) {
+    Message grant = request;
     grant.kind = MessageKind::kGrant;
-    grant.go = {round, "k", 3, 1};
+    grant.ballot = {round, "k", 3, 1};
     for (Entry& entry : grant.entries)
-      entry = {entry.chain, std::min(given, entry.want), entry.want > given ? 100u : 0};
-    return purse.Take(now, grant);
+      entry = {entry.chain, std::min(tokens, entry.tokens), entry.tokens > tokens ? 100u : 0};
+    return ledger.HandleGrant(now, grant);
   }
 };
 
-TEST_CASE("purse: goes on account up to a tenth of a second's, draws as much, and under one number") {
-  Purse2 at({Of({100, 50})});
+TEST_CASE(
+    "credit ledger: admits a tenth of a second's tokens on credit, and requests as many under one sequence "
+    "number") {
+  LedgerFixture at({Of({100, 50})});
   CHECK(at.Within(1s, 20, By(0)) == 10);
-  Verdict over = at.purse.Take(1s, By(0));
-  CHECK_FALSE(over.within);
+  Verdict over = at.ledger.Admit(1s, By(0));
+  CHECK_FALSE(over.within_quota);
   CHECK(over.counted);
-  CHECK(over.come_back >= 10ms);
-  CHECK(over.come_back <= 5s);
-  auto draws = at.Due(1s);
-  REQUIRE(draws.size() == 1);
-  Message draw = draws[0];
-  REQUIRE(draw.entries.size() == 1);
-  CHECK(draw.entries[0].want == 10);
+  CHECK(over.retry_after >= 10ms);
+  CHECK(over.retry_after <= 5s);
+  auto requests = at.CollectRequests(1s);
+  REQUIRE(requests.size() == 1);
+  Message request = requests[0];
+  REQUIRE(request.entries.size() == 1);
+  CHECK(request.entries[0].tokens == 10);
   CHECK(at.Within(1s + 1ms, 100, By(0)) == 0);
-  CHECK(at.Due(1s + 20ms).empty());
-  REQUIRE(at.Due(1s + 40ms).size() == 1);
-  CHECK(at.draws[0] == draw);
-  CHECK(at.Grant(1s + 41ms, draw, 3));
-  CHECK_FALSE(at.Grant(1s + 41ms, draw, 3));
-  CHECK(at.purse.owed() == 7);
+  CHECK(at.CollectRequests(1s + 20ms).empty());
+  REQUIRE(at.CollectRequests(1s + 40ms).size() == 1);
+  CHECK(at.requests[0] == request);
+  CHECK(at.Grant(1s + 41ms, request, 3));
+  CHECK_FALSE(at.Grant(1s + 41ms, request, 3));
+  CHECK(at.ledger.debt() == 7);
   CHECK(at.Within(1s + 42ms, 20, By(0)) == 3);
 }
 
-TEST_CASE("purse: more than was owed is never of use, though more be granted") {
-  Purse2 at({Of({100, 50})});
+TEST_CASE("credit ledger: tokens granted beyond the debt are discarded") {
+  LedgerFixture at({Of({100, 50})});
   CHECK(at.Within(1s, 4, By(0)) == 4);
-  Message draw = at.Due(3s).at(0), grant = draw;
+  Message request = at.CollectRequests(3s).at(0), grant = request;
   grant.kind = MessageKind::kGrant;
-  grant.entries[0].want = 50;
-  CHECK(at.purse.Take(3s, grant));
-  CHECK(at.purse.owed() == 0);
+  grant.entries[0].tokens = 50;
+  CHECK(at.ledger.HandleGrant(3s, grant));
+  CHECK(at.ledger.debt() == 0);
   CHECK(at.Within(3s, 50, By(0)) == 10);
 }
 
-// Never more than released and AheadOf together, of any bucket, in any order of requests and grants.
-TEST_CASE("purse: each bucket pays for itself, and none owes more than one process may be ahead") {
-  Purse2 at({Of({60, 100}), Of({1000, 1000}, 0, kPerClient)});
-  std::map<Bucket, std::uint64_t> paid, had;
+// Random requests and partial grants: no bucket may admit more than was granted plus AheadOf.
+TEST_CASE("credit ledger: each bucket pays its own debt, which never exceeds AheadOf") {
+  LedgerFixture at({Of({60, 100}), Of({1000, 1000}, 0, kPerClient)});
+  std::map<Bucket, std::uint64_t> paid, admitted;
   for (int turn = 0; turn < 400; ++turn) {
     Time now = 1s + turn * 12ms;
     for (int i = 0; i < 50; ++i) {
       Chain chain = at.table.ChainOf(By(0, i % 5));
-      if (!at.purse.Take(now, By(0, i % 5)).within) continue;
-      for (std::size_t k = 0; k < chain.size; ++k) ++had[chain.buckets[k]];
+      if (!at.ledger.Admit(now, By(0, i % 5)).within_quota) continue;
+      for (std::size_t k = 0; k < chain.size; ++k) ++admitted[chain.buckets[k]];
     }
-    for (const Message& draw : at.Due(now)) {
-      std::uint32_t given = static_cast<std::uint32_t>(turn) % 4;
-      for (const Entry& entry : draw.entries) {
-        CHECK(entry.want == at.purse.owed(entry.chain.buckets[0]));
-        paid[entry.chain.buckets[0]] += std::min(given, entry.want);
+    for (const Message& request : at.CollectRequests(now)) {
+      std::uint32_t granted = static_cast<std::uint32_t>(turn) % 4;
+      for (const Entry& entry : request.entries) {
+        CHECK(entry.tokens == at.ledger.debt(entry.chain.buckets[0]));
+        paid[entry.chain.buckets[0]] += std::min(granted, entry.tokens);
       }
-      at.Grant(now + 1ms, draw, given);
+      at.Grant(now + 1ms, request, granted);
     }
-    for (const auto& [bucket, count] : had) {
-      CHECK(at.purse.owed(bucket) == count - paid[bucket]);
-      CHECK(at.purse.owed(bucket) <= AheadOf(at.table.rations[bucket.ration].pace));
+    for (const auto& [bucket, count] : admitted) {
+      CHECK(at.ledger.debt(bucket) == count - paid[bucket]);
+      CHECK(at.ledger.debt(bucket) <= AheadOf(at.table.rations[bucket.ration].pace));
     }
   }
   CHECK(paid[Bucket{0, 0}] > 50);
   CHECK(paid.size() == 6);
 }
 
-TEST_CASE("purse: a debt that hinders nobody waits, one that does goes soon, with all of its shard") {
-  Purse2 at({Of({1000, 1000}), Of({1000, 1000}, 0, kPerClient)});
-  at.purse.Take(0s, By(0, 1));
-  at.Grant(0s, at.Due(0s).at(0), 1000);  // the first of a shard, at once
-  at.purse.Take(1s, By(0, 1));
-  CHECK(at.Due(1s + 500ms).empty());
-  CHECK(at.purse.NextDue() == 2s);
+TEST_CASE(
+    "credit ledger: a debt far from the limit waits; one close to it is requested soon, with all of its "
+    "shard") {
+  LedgerFixture at({Of({1000, 1000}), Of({1000, 1000}, 0, kPerClient)});
+  at.ledger.Admit(0s, By(0, 1));
+  at.Grant(0s, at.CollectRequests(0s).at(0), 1000);  // the first request to a shard is sent at once
+  at.ledger.Admit(1s, By(0, 1));
+  CHECK(at.CollectRequests(1s + 500ms).empty());
+  CHECK(at.ledger.NextDue() == 2s);
   CHECK(at.Within(1s + 500ms, 95, By(0, 2)) == 95);
-  REQUIRE(at.Due(1s + 501ms).size() == 1);
-  REQUIRE(at.draws[0].entries.size() == 3);
-  CHECK(at.Grant(1s + 502ms, at.draws[0], 1000));
-  CHECK(at.purse.owed() == 0);
-  CHECK_FALSE(at.purse.NextDue());
+  REQUIRE(at.CollectRequests(1s + 501ms).size() == 1);
+  REQUIRE(at.requests[0].entries.size() == 3);
+  CHECK(at.Grant(1s + 502ms, at.requests[0], 1000));
+  CHECK(at.ledger.debt() == 0);
+  CHECK_FALSE(at.ledger.NextDue());
 }
 
-TEST_CASE("purse: a bucket whose own ration is used up does not hold the one around it") {
-  Purse2 at({Of({100, 50}), Of({1, 1}, 0, kPerClient)});
-  for (std::uint64_t client = 1; client <= 10; ++client) CHECK(at.purse.Take(1s, By(0, client)).within);
-  CHECK_FALSE(at.purse.Take(1s, By(0, 11)).within);
-  Message grant = at.Due(1s).at(0);
+TEST_CASE("credit ledger: a bucket that is used up does not block the enclosing one") {
+  LedgerFixture at({Of({100, 50}), Of({1, 1}, 0, kPerClient)});
+  for (std::uint64_t client = 1; client <= 10; ++client)
+    CHECK(at.ledger.Admit(1s, By(0, client)).within_quota);
+  CHECK_FALSE(at.ledger.Admit(1s, By(0, 11)).within_quota);
+  Message grant = at.CollectRequests(1s).at(0);
   grant.kind = MessageKind::kGrant;
   for (Entry& entry : grant.entries) {
-    entry.want = entry.chain.size == 1 ? entry.want : 0;
-    entry.wait_ms = 1000;
+    entry.tokens = entry.chain.size == 1 ? entry.tokens : 0;
+    entry.retry_after_ms = 1000;
   }
-  CHECK(at.purse.Take(1s + 1ms, grant));
-  CHECK_FALSE(at.purse.Take(1s + 2ms, By(0, 1)).within);
-  CHECK(at.purse.Take(1s + 2ms, By(0, 11)).within);
+  CHECK(at.ledger.HandleGrant(1s + 1ms, grant));
+  CHECK_FALSE(at.ledger.Admit(1s + 2ms, By(0, 1)).within_quota);
+  CHECK(at.ledger.Admit(1s + 2ms, By(0, 11)).within_quota);
 }
 
-TEST_CASE("purse: alone, soft rations do as they say and hard ones are over") {
-  for (auto [hard, alone, least, most] : {std::tuple{true, Alone::kOpen, 0, 0},
-                                          {false, Alone::kReject, 0, 0},
-                                          {false, Alone::kOwnShare, 9, 11},
-                                          {false, Alone::kOpen, 100, 100}}) {
+TEST_CASE("credit ledger: without an owner, soft quotas apply their rule and hard ones reject") {
+  for (auto [hard, alone, min, max] : {std::tuple{true, Alone::kOpen, 0, 0},
+                                       {false, Alone::kReject, 0, 0},
+                                       {false, Alone::kOwnShare, 9, 11},
+                                       {false, Alone::kOpen, 100, 100}}) {
     Ration ration = Of({100, 50});
     ration.hard = hard;
     ration.alone = alone;
-    Purse::Options options;
+    CreditLedger::Options options;
     options.routers = 10;
-    Purse2 at({ration}, options);
+    LedgerFixture at({ration}, options);
     CHECK(at.Within(1s, 11, By(0)) == 10);
-    at.Due(1s);
-    CHECK_FALSE(at.purse.alone(1s + 299ms, ShardOf(at.table.ChainOf(By(0)))));
+    at.CollectRequests(1s);
+    CHECK_FALSE(at.ledger.owner_unreachable(1s + 299ms, ShardOf(at.table.ChainOf(By(0)))));
     int within = 0;
-    for (int i = 0; i < 100; ++i) within += at.purse.Take(1s + 300ms + i * 10ms, By(0)).within ? 1 : 0;
-    CHECK(within >= least);
-    CHECK(within <= most);
-    CHECK(at.Grant(3s, at.Due(3s).at(0), 1));
-    CHECK(at.purse.Take(3s, By(0)).within);
-    CHECK_FALSE(at.purse.Take(3s, By(0)).within);
+    for (int i = 0; i < 100; ++i)
+      within += at.ledger.Admit(1s + 300ms + i * 10ms, By(0)).within_quota ? 1 : 0;
+    CHECK(within >= min);
+    CHECK(within <= max);
+    CHECK(at.Grant(3s, at.CollectRequests(3s).at(0), 1));
+    CHECK(at.ledger.Admit(3s, By(0)).within_quota);
+    CHECK_FALSE(at.ledger.Admit(3s, By(0)).within_quota);
   }
 }
 
-TEST_CASE("purse: without room a new bucket has no credit, and no debt is dropped for it") {
-  Purse2 at({Of({100, 50}, -1, kPerClient)}, {.buckets = 2});
+TEST_CASE("credit ledger: without room a new bucket gets no credit, and no debt is dropped for it") {
+  LedgerFixture at({Of({100, 50}, -1, kPerClient)}, {.buckets = 2});
   for (std::uint64_t client : {1, 2}) CHECK(at.Within(1s, 20, By(0, client)) == 10);
-  CHECK_FALSE(at.purse.Take(1s, By(0, 3)).within);
-  CHECK(at.purse.buckets() == 2);
-  for (Message draw : at.Due(1s)) {
-    draw.kind = MessageKind::kGrant;
-    for (Entry& entry : draw.entries) entry.want = entry.chain == at.table.ChainOf(By(0, 1)) ? 10 : 9;
-    CHECK(at.purse.Take(1s, draw));
+  CHECK_FALSE(at.ledger.Admit(1s, By(0, 3)).within_quota);
+  CHECK(at.ledger.buckets() == 2);
+  for (Message request : at.CollectRequests(1s)) {
+    request.kind = MessageKind::kGrant;
+    for (Entry& entry : request.entries) entry.tokens = entry.chain == at.table.ChainOf(By(0, 1)) ? 10 : 9;
+    CHECK(at.ledger.HandleGrant(1s, request));
   }
-  CHECK(at.purse.Take(1s, By(0, 3)).within);
+  CHECK(at.ledger.Admit(1s, By(0, 3)).within_quota);
   CHECK(at.Within(1s, 20, By(0, 2)) == 9);
-  CHECK_FALSE(at.purse.Take(1s, By(0, 1)).within);
+  CHECK_FALSE(at.ledger.Admit(1s, By(0, 1)).within_quota);
 }
 
-TEST_CASE("slots: what is in is found, whatever came to lie beside it and went") {
-  Slots slots;
-  std::map<std::uint32_t, std::uint64_t> in;  // numbers and their hashes, of which many are alike
+TEST_CASE("hash index: finds what it holds, whatever is inserted and erased beside it") {
+  HashIndex index;
+  std::map<std::uint32_t, std::uint64_t> in;  // slots and their hashes, many of which are equal
   std::uint64_t seed = 1;
   auto found = [&](std::uint32_t slot) {
-    return slots.Find(slot % 97 * 64, [&](std::uint32_t one) { return one == slot; }) == slot;
+    return index.Find(slot % 97 * 64, [&](std::uint32_t one) { return one == slot; }) == slot;
   };
   for (int i = 0; i < 20000; ++i) {
     seed = seed * 6364136223846793005u + 1442695040888963407u;
     auto slot = static_cast<std::uint32_t>(seed >> 33) % 500;
     if (in.contains(slot)) {
-      slots.Erase(in[slot], slot);
+      index.Erase(in[slot], slot);
       in.erase(slot);
     } else {
-      slots.Insert(in[slot] = slot % 97 * 64, slot);
+      index.Insert(in[slot] = slot % 97 * 64, slot);
     }
     std::uint32_t other = (slot * 7 + 3) % 500;
     REQUIRE(found(slot) == in.contains(slot));
     REQUIRE(found(other) == in.contains(other));
-    REQUIRE(slots.size() == in.size());
+    REQUIRE(index.size() == in.size());
   }
 }
 
-// Says how long a request takes; asserts nothing of it.
-TEST_CASE("purse: bench" * doctest::skip()) {
-  Purse2 at({Of({1e9, 1e9}), Of({1e8, 1e8}, 0, kPerTenant), Of({1e7, 1e7}, 1, kPerClient)});
+// Prints how long Admit takes; asserts nothing.
+TEST_CASE("credit ledger: bench" * doctest::skip()) {
+  LedgerFixture at({Of({1e9, 1e9}), Of({1e8, 1e8}, 0, kPerTenant), Of({1e7, 1e7}, 1, kPerClient)});
   Time now = 10s;
   for (std::uint64_t clients : {1u, 1000u, 50000u}) {
     for (int with = 0; with < 2; ++with) {
@@ -336,9 +344,10 @@
       std::uint64_t within = 0;
       for (int i = 0; i < kTimes; ++i) {
         now += 400ns;
-        within += at.purse.Take(now, By(1, static_cast<std::uint64_t>(i) * 7919 % clients)).within ? 1 : 0;
+        within +=
+            at.ledger.Admit(now, By(1, static_cast<std::uint64_t>(i) * 7919 % clients)).within_quota ? 1 : 0;
         if (with == 1 && i % 25000 == 0) {
-          for (const Message& draw : at.Due(now + 50ms)) at.Grant(now, draw, 1'000'000);
+          for (const Message& request : at.CollectRequests(now + 50ms)) at.Grant(now, request, 1'000'000);
         }
       }
       Span took = std::chrono::steady_clock::now() - begun;
--- a/tests/rations/process_rig.h
+++ b/tests/rations/process_rig.h
@@ -1,4 +1,5 @@
-// A fleet of real routers that keep rations together, with clients at each; files and processes end with it.
+// A fleet of router processes that share quotas, with clients at each. Its files are removed and its
+// processes ended on destruction.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -16,8 +17,8 @@
 #include <vector>
 
 #include "processes/peer_fleet.h"
-#include "rations/crowd.h"
 #include "rations/table.h"
+#include "rations/test_clients.h"
 
 namespace peatbend::rations::test {
 
@@ -34,71 +35,74 @@
     "rules":{{"graceToAnswer":20000000,"askEvery":10000000000,"startCapacity":1.0,"warmAfter":24000000000,
               "drainGrace":250000000,"fallMultiple":3.0,"tipAfter":2000000000}},"tick":5000000}}}})";
 
-inline std::string BookOf(const std::string& statements) {
+inline std::string ConfigWith(const std::string& statements) {
   return "book reads 1\nration all {\n  counts everything;\n  " + statements + "\n}\n";
 }
-inline std::string BookOf(const Pace& pace, const std::string& more = "hard;") {
-  return BookOf(fmt::format("rate {} a second; burst {}; {}", pace.rate, pace.burst, more));
+inline std::string ConfigWith(const Pace& pace, const std::string& more = "hard;") {
+  return ConfigWith(fmt::format("rate {} a second; burst {}; {}", pace.rate, pace.burst, more));
 }
 
-inline const Pace kEven{100, 20};  // of most books here
+inline const Pace kDefaultPace{100, 20};  // of most tests
 
 class Rig {
  public:
-  // `book` empty: rations are off. `seats`: the first so many routers. `starts`: the routers that run at
-  // once. `more`: of a router's own file, from within [rations] on.
-  Rig(std::size_t size, const std::string& book, std::size_t seats, std::size_t starts, int clients = 4,
+  // `quotas`: the quota configuration; empty: quotas are off. `replicas`: how many of the first routers are
+  // replicas. `starts`: how many routers are started at once. `more`: text that follows a router's own
+  // [rations] section.
+  Rig(std::size_t size, const std::string& quotas, std::size_t replicas, std::size_t starts, int clients = 4,
       const std::function<std::string(std::size_t)>& more = {})
       : folder_(
             (std::filesystem::temp_directory_path() / fmt::format("peatbend-rations-{}", getpid())).string()),
         fleet_((std::filesystem::remove_all(folder_), PEATBEND_ROUTER), folder_, size, 1) {
     std::vector<std::string> addresses;
     for (std::size_t i = 0; i < size; ++i) addresses.push_back(fleet_.process(i).address());
-    crowd_ = std::make_unique<Crowd>(addresses, clients);
-    std::string seated;
-    for (std::size_t i = 0; i < seats; ++i) seated += fmt::format("{}\"r{}/a\"", i > 0 ? ", " : "", i);
+    clients_ = std::make_unique<TestClients>(addresses, clients);
+    std::string replica_list;
+    for (std::size_t i = 0; i < replicas; ++i)
+      replica_list += fmt::format("{}\"r{}/a\"", i > 0 ? ", " : "", i);
     for (std::size_t i = 0; i < size; ++i) {
       admins_.push_back(fleet_.Admin(i));
-      fleet_.process(i).Write(fmt::format(kSettings, crowd_->member_port(), size));
-      if (book.empty()) continue;
-      WriteBook(i, book);
+      fleet_.process(i).Write(fmt::format(kSettings, clients_->server_port(), size));
+      if (quotas.empty()) continue;
+      WriteQuotas(i, quotas);
       std::ofstream(Toml(i), std::ios::app)
-          << fmt::format("[rations]\nbook = \"{}\"\nseats = [{}]\n", Book(i), seated)
+          << fmt::format("[rations]\nbook = \"{}\"\nseats = [{}]\n", QuotasPath(i), replica_list)
           << (more ? more(i) : "");
     }
     for (std::size_t i = 0; i < starts; ++i) fleet_.Start(i);
     REQUIRE_MESSAGE(fleet_.Agree(10s), fleet_.Difference());
   }
-  Rig(std::size_t size, const std::string& book) : Rig(size, book, std::min<std::size_t>(size, 5), size) {}
+  Rig(std::size_t size, const std::string& quotas)
+      : Rig(size, quotas, std::min<std::size_t>(size, 5), size) {}
   ~Rig() {
     CHECK(fleet_.Crashed().empty());
-    CHECK(crowd_->odd() == 0);
+    CHECK(clients_->unexpected() == 0);
     std::error_code ignored;
     std::filesystem::remove_all(folder_, ignored);
   }
 
   processes::PeerFleet& fleet() { return fleet_; }
-  Crowd& crowd() { return *crowd_; }
-  // Parts of one, two and two, of five routers; or whole again.
+  TestClients& clients() { return *clients_; }
+  // Partitions a fleet of five into one, two and two routers, or ends that.
   void SplitInThree(bool cut) {
     fleet_.Split({0}, {1, 3, 2, 4}, cut);
     fleet_.Split({1, 3}, {2, 4}, cut);
   }
   std::string Toml(std::size_t node) { return fleet_.process(node).folder() + "/router.toml"; }
   const std::string& Admin(std::size_t node) const { return admins_[node]; }
-  std::string Book(std::size_t node) { return fleet_.process(node).folder() + "/book"; }
-  void WriteBook(std::size_t node, const std::string& text) { std::ofstream(Book(node)) << text; }
+  std::string QuotasPath(std::size_t node) { return fleet_.process(node).folder() + "/book"; }
+  void WriteQuotas(std::size_t node, const std::string& text) { std::ofstream(QuotasPath(node)) << text; }
   std::string Log(std::size_t node) {
     std::ifstream file(fleet_.process(node).folder() + "/log.txt");
     return {std::istreambuf_iterator<char>(file), {}};
   }
-  std::map<std::string, std::uint64_t> Figures(std::size_t node) { return FiguresAt(admins_[node]); }
-  static std::map<std::string, std::uint64_t> FiguresAt(const std::string& admin) {
+  std::map<std::string, std::uint64_t> Metrics(std::size_t node) { return MetricsAt(admins_[node]); }
+  static std::map<std::string, std::uint64_t> MetricsAt(const std::string& admin) {
     return processes::AskFigures(admin);
   }
-  // Another process on the same address, beside the running one until that has been told to end; that one.
-  // Operators ask it at an address of its own.
-  pid_t Follow(std::size_t node) {
+  // Starts a successor process on the router's address, with an admin address of its own. Returns the process
+  // id of the predecessor, which keeps running until it is signalled.
+  pid_t StartSuccessor(std::size_t node) {
     std::ifstream file(Toml(node));
     std::string text((std::istreambuf_iterator<char>(file)), {}), next = admins_[node];
     ++next.back();
@@ -109,18 +113,18 @@
     fleet_.Start(node);
     return old;
   }
-  // The router that keeps most shards of those that are asked; by its own word.
-  std::size_t Keeper() {
+  // The router that has sent the most grants, by its own metrics.
+  std::size_t Owner() {
     std::size_t best = 0;
     std::uint64_t most = 0;
     for (std::size_t i = 0; i < fleet_.size(); ++i) {
-      std::uint64_t grants = fleet_.up(i) ? Figures(i)["rations.grants"] : 0;
+      std::uint64_t grants = fleet_.up(i) ? Metrics(i)["rations.grants"] : 0;
       if (grants > most) best = i, most = grants;
     }
     return best;
   }
-  static void Pause(Clock::duration span) { std::this_thread::sleep_for(span); }
-  // Until `holds`, for `within` at the most; whether it did.
+  static void Sleep(Clock::duration span) { std::this_thread::sleep_for(span); }
+  // Waits until `holds`, for `within` at most; returns whether it did.
   template <typename F>
   static bool Until(F holds, Clock::duration within) {
     for (auto until = Clock::now() + within; !holds();) {
@@ -129,51 +133,51 @@
     }
     return true;
   }
-  // Lets go of so many more admissions; whether they came.
-  bool Flows(std::size_t count, Clock::duration within) {
+  // Waits for so many more admissions; returns whether they came.
+  bool WaitForAdmissions(std::size_t count, Clock::duration within) {
     auto from = Clock::now();
-    return Until([&] { return crowd_->Admitted(from) >= count; }, within);
+    return Until([&] { return clients_->Admitted(from) >= count; }, within);
   }
-  // What was asked since `from` and admitted, against what is promised for so many processes. A promise is of
-  // one book: a stretch in which books change has the bounds of both.
+  // Checks the requests sent since `from` and admitted against the bound for so many processes. The bound is
+  // of one quota configuration: for a period in which it changes, the bounds of both add up.
   void CheckBound(const Pace& pace, std::size_t processes, Clock::time_point from = {}) {
     CheckBound(
         pace, [=](Clock::time_point, Clock::time_point) { return processes; }, from);
   }
-  // From the start of a process until the end of the one that it replaces.
+  // From the start of a successor until the end of its predecessor.
   struct Upgrade {
-    Clock::time_point begun, ended;
+    Clock::time_point started, ended;
   };
-  // The same where processes were replaced: a stretch of time that meets an upgrade has one process more.
+  // The same with upgrades: in a period that overlaps an upgrade there is one process more.
   void CheckBound(const Pace& pace, std::size_t routers, const std::vector<Upgrade>& upgrades) {
-    auto within = [&](Clock::time_point from, Clock::time_point to) {
-      auto met = std::ranges::count_if(
-          upgrades, [&](const Upgrade& one) { return one.begun < to && from < one.ended; });
-      return routers + static_cast<std::size_t>(met);
+    auto processes = [&](Clock::time_point from, Clock::time_point to) {
+      auto overlapping = std::ranges::count_if(
+          upgrades, [&](const Upgrade& one) { return one.started < to && from < one.ended; });
+      return routers + static_cast<std::size_t>(overlapping);
     };
-    CheckBound(pace, within, {});
+    CheckBound(pace, processes, {});
   }
 
  private:
-  // `processes`: how many there were in a stretch of time.
+  // `processes`: returns how many there were in a period.
   void CheckBound(const Pace& pace,
                   const std::function<std::size_t(Clock::time_point, Clock::time_point)>& processes,
                   Clock::time_point since) {
-    auto all = crowd_->Admissions();
+    auto all = clients_->Admissions();
     std::erase_if(all, [&](const Admission& one) { return one.sent < since; });
     CHECK(all.size() > 20);
-    auto ahead = [&](Clock::time_point from, Clock::time_point to) {
+    auto credit = [&](Clock::time_point from, Clock::time_point to) {
       return static_cast<double>(processes(from, to)) * AheadOf(pace);
     };
-    double above = MostAbove(all, pace.rate, pace.burst, ahead);
-    CHECK_MESSAGE(above <= kSlack, "by ", above, " at the worst, of ", all.size(), " admissions");
+    double excess = MaxExcess(all, pace.rate, pace.burst, credit);
+    CHECK_MESSAGE(excess <= kToleranceTokens, "largest excess ", excess, " of ", all.size(), " admissions");
   }
 
-  // Two clocks of one machine, and fractions of a token.
-  static constexpr double kSlack = 1;
+  // For differences between two clocks of one machine, and fractions of a token.
+  static constexpr double kToleranceTokens = 1;
   std::string folder_;
   processes::PeerFleet fleet_;
-  std::unique_ptr<Crowd> crowd_;
+  std::unique_ptr<TestClients> clients_;
   std::vector<std::string> admins_;
 };
 
