--- a/src/rations/credit_ledger.h
+++ b/src/rations/credit_ledger.h
@@ -32,14 +32,16 @@
 class CreditLedger {
  public:
   struct Options {
-    int routers = 1;                                        // of the fleet, for `own share`
-    Span request_interval = std::chrono::milliseconds{20};  // minimum, per shard
-    Span resend_interval = std::chrono::milliseconds{40};   // of an unanswered request, under the same
-                                                            // sequence number; less where answers are faster
-    Span unreachable_after = std::chrono::milliseconds{300};  // unanswered for so long: soft quotas apply
-                                                              // their `alone` rule
-    Span idle_request_delay = std::chrono::seconds{1};  // for a debt that is not close to the credit limit
-    std::size_t buckets = 100'000;                      // limit
+    int routers = 1;  // of the fleet, for `own share`
+    // Minimum interval between the requests to one shard.
+    Span request_interval = std::chrono::milliseconds{20};
+    // Of an unanswered request, under the same sequence number; shorter if answers usually come sooner.
+    Span resend_interval = std::chrono::milliseconds{40};
+    // Soft quotas apply their `alone` rule once a request has been unanswered for so long.
+    Span unreachable_after = std::chrono::milliseconds{300};
+    // Delay of the request for a debt that is not close to the credit limit.
+    Span idle_request_delay = std::chrono::seconds{1};
+    std::size_t buckets = 100'000;  // limit
   };
   // `table` must outlive this object. `nonce`: of the process. `random`: seed of the jitter. `last`:
   // last_sequence() of the process's previous ledger, since no sequence number is used twice under one nonce.
--- a/src/rations/message.cpp
+++ b/src/rations/message.cpp
@@ -59,15 +59,15 @@
 std::string Text(const Message& m) {
   std::string text =
       fmt::format("{} {} of {}", kKindNames[static_cast<int>(m.kind)], m.shard, Text(m.ballot));
-  if (m.other_ballot.round != 0) text += ", met " + Text(m.other_ballot);
-  if (m.generation != 0) text += fmt::format(", life {:x}", m.generation);
+  if (m.other_ballot.round != 0) text += ", other ballot " + Text(m.other_ballot);
+  if (m.generation != 0) text += fmt::format(", generation {:x}", m.generation);
   if (m.sequence != 0) text += fmt::format(" #{}", m.sequence);
   if (m.requester != 0) text += fmt::format(" by {:x}", m.requester);
   for (const Entry& entry : m.entries) {
     text += " [";
     for (std::size_t i = 0; i < entry.chain.size; ++i)
       text += fmt::format("{}:{:x} ", entry.chain.buckets[i].ration, entry.chain.buckets[i].of);
-    text += fmt::format("{}, wait {} ms]", entry.tokens, entry.retry_after_ms);
+    text += fmt::format("{}, retry after {} ms]", entry.tokens, entry.retry_after_ms);
   }
   return text;
 }
--- a/src/rations/message.h
+++ b/src/rations/message.h
@@ -59,11 +59,11 @@
   // grant.
   Ballot other_ballot;
   std::uint64_t generation = 0;  // promise, confirm, confirmed, denied: of the replica, chosen at its start
-  std::uint64_t sequence = 0;    // confirm, confirmed: within the ballot. Token request, grant, redirect: the
-                                 // request's
-  std::uint64_t requester = 0;   // token request, grant: nonce of the requesting process
-  std::uint64_t fingerprint = 0;  // token request, grant: of the table that the entries refer to; redirect:
-                                  // of the sender's table
+  // Confirm, confirmed: counts within the ballot. Token request, grant, redirect: of the request.
+  std::uint64_t sequence = 0;
+  std::uint64_t requester = 0;  // token request, grant: nonce of the requesting process
+  // Token request, grant: of the table that the entries refer to. Redirect: of the sender's table.
+  std::uint64_t fingerprint = 0;
   // Token request, grant. Tokens of an entry count in the first bucket of its chain only; the enclosing
   // buckets have entries of their own.
   std::vector<Entry> entries;
--- a/src/rations/shard_buckets.h
+++ b/src/rations/shard_buckets.h
@@ -17,8 +17,8 @@
 
 struct ShardLimits {
   std::size_t buckets = 100'000;  // not full; beyond these all others share one bucket per quota
-  std::size_t requesters =
-      4096;  // whose last request is remembered; beyond these the least recent is dropped
+  // Whose last request is remembered; beyond these the least recently used is dropped.
+  std::size_t requesters = 4096;
 };
 
 class ShardBuckets {
--- a/src/rations/shard_ownership.h
+++ b/src/rations/shard_ownership.h
@@ -34,8 +34,8 @@
 // One ballot of a process for the ownership of a shard. Replicas are numbered from 0; the caller transports
 // the messages. Not thread-safe.
 //
-//   electing --two promises and TakeOwnership--> owning --denied so often that no two promises are left-->
-//   lost electing --denied by two--> lost
+//   electing --two promises, TakeOwnership--> owning --denials leave fewer than two promises--> lost
+//   electing --denied by two--> lost
 class ShardOwnership {
  public:
   enum class Phase { kElecting, kOwning, kLost };
@@ -50,8 +50,8 @@
   void Resend(std::vector<Request>& out) const;
   // Becomes the owner: what is computed from now on may be granted once confirmed. Only the replica
   // generations that have promised so far count from then on. Requires the electing phase and two promises;
-  // otherwise returns false and changes nothing. Buckets must refill from a time read after the last of these
-  // promises arrived, not before.
+  // otherwise returns false and changes nothing.
+  // Buckets must refill from a time read after the last of these promises arrived, not before.
   bool TakeOwnership();
   // Promises so far.
   std::size_t promises() const;
@@ -79,8 +79,8 @@
   Ballot ballot_, highest_ballot_;
   Phase phase_ = Phase::kElecting;
   std::uint64_t sequence_ = 0, highest_round_ = 0;
-  std::array<std::optional<std::uint64_t>, kReplicasPerShard>
-      generations_{};  // of replicas that have promised
+  // Of the replicas that have promised.
+  std::array<std::optional<std::uint64_t>, kReplicasPerShard> generations_{};
   std::array<std::uint64_t, kReplicasPerShard> confirmed_{};
   std::array<bool, kReplicasPerShard> denied_{};
 };
--- a/tests/orders/quota_manager_model.cpp
+++ b/tests/orders/quota_manager_model.cpp
@@ -103,7 +103,7 @@
                                     "dies",          "is restarted", "",
                                     "copy of ",      "a tick"};
   std::string name = kNames[static_cast<int>(what)];
-  if (!envelope) return what == What::kTick ? name : NameOf(who) + " " + name;
+  if (!envelope) return what == What::kTick ? name : NameOf(index) + " " + name;
   return name + NameOf(envelope->from) + " -> " + NameOf(envelope->to) + ": " +
          rations::Text(envelope->message);
 }
@@ -115,7 +115,7 @@
       ++next.now_;
       break;
     case What::kRestart:
-      next.routers_[event.who] = NewRouter(event.who, static_cast<std::uint64_t>(1 + starts_));
+      next.routers_[event.index] = NewRouter(event.index, static_cast<std::uint64_t>(1 + starts_));
       --next.starts_;
       ++next.processes_;
       break;
@@ -123,7 +123,7 @@
     case What::kDeliverCopy:
       if (event.what == What::kDeliverCopy) --next.duplicates_;
       if (event.what == What::kDeliver)
-        next.in_flight_.erase(next.in_flight_.begin() + static_cast<std::ptrdiff_t>(event.who));
+        next.in_flight_.erase(next.in_flight_.begin() + static_cast<std::ptrdiff_t>(event.index));
       if (routers_[event.envelope->to]->alive) next.Do(event.envelope->to, What::kDeliver, event.envelope);
       break;
     default:
@@ -131,7 +131,7 @@
       next.config_changes_ -= event.what == What::kSwitchConfig ? 1 : 0;
       // Its debt ends with the previous configuration, so it counts as another process.
       if (event.what == What::kSwitchConfig && shared_->setup.next == NextConfig::kSame) ++next.processes_;
-      next.Do(event.who, event.what, nullptr);
+      next.Do(event.index, event.what, nullptr);
   }
   return next;
 }
--- a/tests/orders/quota_manager_model.h
+++ b/tests/orders/quota_manager_model.h
@@ -54,7 +54,7 @@
       kDeliverCopy,
       kTick
     } what;
-    std::size_t who = 0;  // the router; of a message: its index
+    std::size_t index = 0;  // of the router or the message in flight
     EnvelopePtr envelope;
     std::string Text() const;
   };
--- a/tests/orders/quota_manager_model_test.cpp
+++ b/tests/orders/quota_manager_model_test.cpp
@@ -57,9 +57,9 @@
 TEST(QuotaManagerModel, RequestsQueuedDuringAnElectionAreNotGrantedByAnotherConfiguration) {
   using What = QuotaManagerModel::Event::What;
   QuotaManagerModel model({.next = NextConfig::kOther, .ticks = 1});
-  auto apply = [&](What what, std::size_t who) {
+  auto apply = [&](What what, std::size_t index) {
     for (const QuotaManagerModel::Event& event : model.Events()) {
-      if (event.what != what || event.who != who) continue;
+      if (event.what != what || event.index != index) continue;
       model = model.After(event);
       return;
     }
--- a/tests/orders/quota_model.cpp
+++ b/tests/orders/quota_model.cpp
@@ -41,8 +41,8 @@
 std::vector<QuotaModel::Event> QuotaModel::Events() const {
   std::vector<Event> events;
   events.reserve(2 * in_flight_.size() + 24);
-  auto add = [&](What what, std::size_t who, EnvelopePtr envelope = nullptr) {
-    events.push_back({what, static_cast<std::uint8_t>(who), {}, 0, std::move(envelope)});
+  auto add = [&](What what, std::size_t index, EnvelopePtr envelope = nullptr) {
+    events.push_back({what, static_cast<std::uint8_t>(index), {}, 0, std::move(envelope)});
   };
   for (std::size_t i = 0; i < in_flight_.size(); ++i) {
     if (i > 0 && in_flight_[i]->Same(*in_flight_[i - 1])) continue;
@@ -53,8 +53,8 @@
   }
   for (std::size_t r = 0; r < static_cast<std::size_t>(setup().routers); ++r) {
     const Router& router = *routers_[r];
-    auto add_event = [&](RouterEvent event, std::uint64_t of = 0) {
-      events.push_back({What::kRouterEvent, static_cast<std::uint8_t>(r), event, of, nullptr});
+    auto add_event = [&](RouterEvent event, std::uint64_t target = 0) {
+      events.push_back({What::kRouterEvent, static_cast<std::uint8_t>(r), event, target, nullptr});
     };
     if (!router.alive) {
       if (starts_ > 0) add(What::kRestartRouter, r);
@@ -107,7 +107,7 @@
                                            "resends its request to r",
                                            "drops its account",
                                            "dies"};
-  std::string number = std::to_string(who);
+  std::string number = std::to_string(index);
   switch (what) {
     case What::kDeliver:
       return envelope->Text();
@@ -119,7 +119,7 @@
       return "r" + number + " " + kRouterEvents[static_cast<int>(router_event)] +
              (router_event == RouterEvent::kTakeBack || router_event == RouterEvent::kRequestTokens ||
                       router_event == RouterEvent::kResendRequest
-                  ? std::to_string(of)
+                  ? std::to_string(target)
                   : "");
     case What::kRestartRouter:
       return "r" + number + " is restarted";
@@ -137,22 +137,22 @@
     case What::kDeliver:
     case What::kDeliverCopy:
     case What::kDeliverToFormer:
-      next.Deliver(event.who, event.what == What::kDeliverCopy, event.what == What::kDeliverToFormer);
+      next.Deliver(event.index, event.what == What::kDeliverCopy, event.what == What::kDeliverToFormer);
       break;
     case What::kRouterEvent:
       next.resends_ -= event.router_event == RouterEvent::kResendRequest ? 1 : 0;
       next.deaths_ -= event.router_event == RouterEvent::kDie ? 1 : 0;
-      next.Do(event.who, event.router_event, event.of);
+      next.Do(event.index, event.router_event, event.target);
       if (event.router_event == RouterEvent::kDie) next.Prune();
       break;
     case What::kRestartRouter:
-      next.routers_[event.who] =
-          NewRouter(event.who, static_cast<std::uint64_t>(1 + setup().starts - --next.starts_));
+      next.routers_[event.index] =
+          NewRouter(event.index, static_cast<std::uint64_t>(1 + setup().starts - --next.starts_));
       ++next.processes_;
       next.Prune();
       break;
     case What::kRestartReplica:
-      next.RestartReplica(event.who);
+      next.RestartReplica(event.index);
       break;
     case What::kTick:
       next.Tick();
@@ -177,11 +177,11 @@
     if (routers_[r] && routers_[r]->shard) Do(r, RouterEvent::kTick);
 }
 
-void QuotaModel::Do(std::size_t r, RouterEvent event, std::uint64_t of, const EnvelopePtr& envelope) {
+void QuotaModel::Do(std::size_t r, RouterEvent event, std::uint64_t target, const EnvelopePtr& envelope) {
   std::uint64_t number =
-      (of << 8 | static_cast<std::uint64_t>(event)) << 8 | static_cast<std::uint64_t>(now_);
+      (target << 8 | static_cast<std::uint64_t>(event)) << 8 | static_cast<std::uint64_t>(now_);
   auto result = shared_->steps.Of(routers_[r], envelope, number, [&] {
-    return RouterStep(setup(), shared_->table, now_, *routers_[r]).Do(event, of, envelope.get());
+    return RouterStep(setup(), shared_->table, now_, *routers_[r]).Do(event, target, envelope.get());
   });
   routers_[r] = result->router;
   for (const auto& [tick, tokens] : result->granted)
--- a/tests/orders/quota_model.h
+++ b/tests/orders/quota_model.h
@@ -32,9 +32,9 @@
       kRestartReplica,
       kTick
     } what;
-    std::uint8_t who = 0;  // the router or the replica; of a message: its index
+    std::uint8_t index = 0;  // of the router, the replica or the message in flight
     RouterEvent router_event{};
-    std::uint64_t of = 0;
+    std::uint64_t target = 0;  // kTakeBack: the requester; token requests: the receiver
     EnvelopePtr envelope;
     std::string Text() const;
   };
@@ -81,7 +81,7 @@
     return sum;
   }
 
-  void Do(std::size_t r, RouterEvent event, std::uint64_t of = 0, const EnvelopePtr& envelope = nullptr);
+  void Do(std::size_t r, RouterEvent event, std::uint64_t target = 0, const EnvelopePtr& envelope = nullptr);
   void Insert(const EnvelopePtr& envelope);
   void Prune();
   bool Matters(const Envelope& envelope, const EnvelopePtr& shared) const;
--- a/tests/orders/quota_model_router.cpp
+++ b/tests/orders/quota_model_router.cpp
@@ -125,7 +125,7 @@
 
 // ---- RouterStep -------------------------------------------------------------------------------------------
 
-StepResult RouterStep::Do(RouterEvent event, std::uint64_t of, const Envelope* envelope) {
+StepResult RouterStep::Do(RouterEvent event, std::uint64_t target, const Envelope* envelope) {
   switch (event) {
     case RouterEvent::kStartElection:
       StartElection();
@@ -144,8 +144,8 @@
       router_.shard->GrantQueued(At(now_), 0, 0, out_);
       break;
     case RouterEvent::kTakeBack:
-      router_.taken_back += router_.granted[of];
-      router_.granted.erase(of);
+      router_.taken_back += router_.granted[target];
+      router_.granted.erase(target);
       break;
     case RouterEvent::kRequest:
     case RouterEvent::kRequestInside:
@@ -156,7 +156,7 @@
     case RouterEvent::kResendRequest:
       if (auto request = router_.ledger->RequestTokens(now_, event == RouterEvent::kResendRequest))
         result_.sent.push_back(
-            MakeEnvelope(Direction::kBetweenRouters, router_.self, of, std::move(*request)));
+            MakeEnvelope(Direction::kBetweenRouters, router_.self, target, std::move(*request)));
       break;
     case RouterEvent::kDropDebt:
       router_.ledger = ReplayedLedger(table_, router_.nonce, router_.ledger->last_sequence());
--- a/tests/orders/quota_model_router.h
+++ b/tests/orders/quota_model_router.h
@@ -58,8 +58,8 @@
   int burst = 1;
   int requests = 0;  // of each process; 0: owners grant tokens to nobody in particular
   int resends = 0;   // of token requests, to any owner
-  int nested =
-      0;  // tokens per two ticks of an inner quota, 0: none. Requests count in both or the outer only
+  // Tokens per two ticks of an inner quota; 0: none. Requests count in both quotas or only in the outer one.
+  int nested = 0;
   std::size_t requesters = 4096;  // that an owner remembers
   QuotaMutant mutant = QuotaMutant::kNone;
 };
@@ -162,10 +162,10 @@
   kCompute,
   kRequestConfirmation,
   kGrantQueued,
-  kTakeBack,  // a mutant takes tokens back from the requester `of`
+  kTakeBack,  // a mutant takes tokens back from the requester `target`
   kRequest,
   kRequestInside,  // of the inner quota
-  kRequestTokens,  // from the router `of`
+  kRequestTokens,  // from the router `target`
   kResendRequest,
   kDropDebt,  // a mutant's ledger
   kDie,
@@ -186,7 +186,7 @@
   RouterStep(const QuotaModelSetup& setup, std::shared_ptr<const rations::Table> table, int now,
              Router router)
       : setup_(setup), table_(std::move(table)), now_(now), router_(std::move(router)) {}
-  StepResult Do(RouterEvent event, std::uint64_t of, const Envelope* envelope);
+  StepResult Do(RouterEvent event, std::uint64_t target, const Envelope* envelope);
 
  private:
   bool Is(QuotaMutant mutant) const { return setup_.mutant == mutant; }
