--- a/tests/rations/hard_cases_test.cpp
+++ b/tests/rations/hard_cases_test.cpp
@@ -46,8 +46,7 @@
 
 // The cache server is slow, so requests are outstanding while their router changes the configuration.
 TEST_CASE(
-    "rations books: a configuration that only some routers have; the bound of each holds, and all are "
-    "answered") {
+    "rations books: new configuration at some routers; each bound holds, pending requests are answered") {
   const Pace lower{50, 10};
   Rig rig(5, ConfigWith(kDefaultPace), 3, 5, 12);
   rig.clients().SetServiceTime(400ms);
--- a/tests/rations/parts_test.cpp
+++ b/tests/rations/parts_test.cpp
@@ -101,9 +101,7 @@
   CHECK(at.buckets.Grant({Want(above, 20)})[0].tokens == 10);
 }
 
-TEST_CASE(
-    "shard buckets: a borrowing quota gets all it requests while the enclosing ones are over half full, else "
-    "its own") {
+TEST_CASE("shard buckets: a borrowing quota gets all while the enclosing ones are over half full") {
   auto borrower = Of({1, 2}, 0);
   borrower.borrows = true;
   ShardBucketsFixture at({Of({100, 100}), borrower});
@@ -173,9 +171,7 @@
   }
 };
 
-TEST_CASE(
-    "credit ledger: admits a tenth of a second's tokens on credit, and requests as many under one sequence "
-    "number") {
+TEST_CASE("credit ledger: admits a tenth of a second's tokens on credit, and requests as many once") {
   LedgerFixture at({Of({100, 50})});
   CHECK(at.Within(1s, 20, By(0)) == 10);
   Verdict over = at.ledger.Admit(1s, By(0));
@@ -237,9 +233,7 @@
   CHECK(paid.size() == 6);
 }
 
-TEST_CASE(
-    "credit ledger: a debt far from the limit waits; one close to it is requested soon, with all of its "
-    "shard") {
+TEST_CASE("credit ledger: a debt far from the limit waits; one close to it is requested soon") {
   LedgerFixture at({Of({1000, 1000}), Of({1000, 1000}, 0, kPerClient)});
   at.ledger.Admit(0s, By(0, 1));
   at.Grant(0s, at.CollectRequests(0s).at(0), 1000);  // the first request to a shard is sent at once
--- a/tests/rations/processes_test.cpp
+++ b/tests/rations/processes_test.cpp
@@ -177,9 +177,7 @@
   rig.CheckBound(kDefaultPace, 5);
 }
 
-TEST_CASE(
-    "rations book: a new configuration at one router, then at all; a faulty one is rejected with its "
-    "position") {
+TEST_CASE("rations book: a new configuration at one router, then at all; a faulty one is rejected") {
   const Pace lower{50, 10};
   Rig rig(5, ConfigWith(kDefaultPace), 3, 5);
   rig.clients().SetIntervals(10ms);
--- a/tests/rations/quota_manager_test.cpp
+++ b/tests/rations/quota_manager_test.cpp
@@ -47,10 +47,7 @@
   }
 };
 
-TEST_CASE(
-    "owned shard: a token request is answered once confirmed, identically when repeated, and never if it is "
-    "an "
-    "older one") {
+TEST_CASE("owned shard: a request is answered once confirmed, identically when repeated, never if older") {
   OwnedShardFixture at;
   CHECK_FALSE(at.shard.HandleRequest(1s, "a", at.Request(2, 4)));
   CHECK(at.shard.GrantQueued(1s, 0, kNoSign, at.out) == 4);
@@ -68,7 +65,7 @@
   CHECK(at.shard.GrantQueued(2s, 0, kNoSign, at.out) == 0);
 }
 
-TEST_CASE("owned shard: another table does not grant an answered request again, and loses no other request") {
+TEST_CASE("owned shard: another table grants no answered request again, and loses no other") {
   OwnedShardFixture at;
   at.shard.HandleRequest(1s, "a", at.Request(1, 10));
   CHECK(at.shard.GrantQueued(1s, 0, kNoSign, at.out) == 10);
@@ -146,7 +143,7 @@
 
 // Guards against two processes that run under the name of one replica: the one without the replica's address
 // must not act as the replica.
-TEST_CASE("quota manager: a process with a replica's name that is none promises nothing, and gets tokens") {
+TEST_CASE("quota manager: a process with a replica's name that is none promises nothing") {
   ThreeManagers at(1);
   QuotaManagerOptions options;
   options.is_replica = false;
@@ -166,8 +163,7 @@
   CHECK(at.managers[0]->ledger().debt() == 0);
 }
 
-TEST_CASE(
-    "quota manager: another table starts with empty buckets and gets no grants from owners of the former") {
+TEST_CASE("quota manager: another table starts with empty buckets, not served by owners of the former") {
   ThreeManagers at(1);
   at.managers[1]->Admit(1s, By(0));
   at.Run(1s, 2s + 60ms);
