--- a/src/rations/owned_shard.h
+++ b/src/rations/owned_shard.h
@@ -24,14 +24,13 @@
         last_sent_at(now),
         ownership(shard, std::move(ballot), out) {}
 
-  // To be called after ShardOwnership::TakeOwnership, and again with each other table, which voids everything
-  // granted but not yet confirmed under the previous one. `table` must outlive this object.
+  // To be called after ShardOwnership::TakeOwnership, and again to switch to another table: requests and
+  // grants under the previous one are void then. `table` must outlive this object.
   void SetTable(const Table& table, ShardLimits limits, Time now, std::int64_t unix_s);
   // Queues a token request. Returns the same grant again for a request that was answered already. Requests
   // older than the requester's last one are ignored.
   std::optional<Message> HandleRequest(Time now, const std::string& from, const Message& request);
-  // Grants tokens for the queued requests and requests the confirmation. Returns the number of tokens
-  // granted.
+  // Grants tokens for the queued requests and requests the confirmation. Returns the number of tokens.
   std::uint64_t GrantQueued(Time now, std::int64_t unix_s, unsigned signs,
                             std::vector<ShardOwnership::Request>& out);
   // Returns the grants confirmed since the last call.
--- a/tests/orders/quota_manager_model.h
+++ b/tests/orders/quota_manager_model.h
@@ -34,7 +34,7 @@
 class QuotaManagerModel {
  public:
   static constexpr std::size_t kRouters = 3;
-  static constexpr int kMaxTicks = 6, kCredit = 1, kBurst = 1;
+  static constexpr int kMaxTicks = 6, kCredit = 1, kBurst = 1;  // kCredit: tokens that each process may owe
   static rations::Time At(int tick) { return tick * std::chrono::milliseconds(250); }
 
   struct Envelope {
--- a/tests/orders/quota_model.h
+++ b/tests/orders/quota_model.h
@@ -20,7 +20,7 @@
 class QuotaModel {
  public:
   static constexpr int kMaxTicks = 8;
-  static constexpr int kCredit = 1;
+  static constexpr int kCredit = 1;  // tokens that each process may owe
 
   struct Event {
     enum class What : std::uint8_t {
@@ -41,10 +41,12 @@
 
   explicit QuotaModel(const QuotaModelSetup& setup);
 
+  // The events that are possible in this state.
   std::vector<Event> Events() const;
   QuotaModel After(const Event& event) const;
   std::uint64_t Print() const;
 
+  // The bound that was exceeded; empty if none was.
   const std::string& broken() const { return broken_; }
   int now() const { return now_; }
   int granted() const { return Sum(granted_, 0, now_); }
