--- a/src/rations/quota_manager.h
+++ b/src/rations/quota_manager.h
@@ -27,7 +27,8 @@
   bool is_replica = true;  // false: this process is no replica, whatever its name
   CreditLedger::Options ledger;
   ShardLimits limits;
-  Span third_promise_wait = std::chrono::milliseconds{10};  // after the second promise
+  // After so long from the start of an election, two promises suffice.
+  Span third_promise_wait = std::chrono::milliseconds{10};
   Span resend_interval = std::chrono::milliseconds{10};
   // Gives up an election without two promises, or a batch without confirmation, after so long; tries again
   // after a random delay.
