--- a/src/compat/bureau.cpp
+++ b/src/compat/bureau.cpp
@@ -24,9 +24,9 @@
 }  // namespace
 
 Bureau::Bureau(BureauOptions options, const failover::ReplicaSet& seats, std::string self, std::uint64_t life,
-               std::uint64_t nonce, Time now, std::function<std::vector<std::string>()> others)
+               std::uint64_t nonce, TimePoint now, std::function<std::vector<std::string>()> others)
     : options_(options),
-      print_(seats.print()),
+      print_(seats.fingerprint()),
       self_(std::move(self)),
       life_(life),
       nonce_(nonce),
@@ -48,7 +48,7 @@
 
 // ---- Changes ---------------------------------------------------------------------------------------------
 
-void Bureau::Bring(Time now, std::string label, Change::Command command, Then then) {
+void Bureau::Bring(TimePoint now, std::string label, Change::Command command, Then then) {
   if (queue_.size() >= options_.queue) {
     Answer busy{{{"", "", "busy", std::to_string(queue_.size()) + " changes wait already", 0, {}}}};
     told_.push_back({std::move(label), std::move(busy), std::move(then)});
@@ -59,7 +59,7 @@
 }
 
 // The next of the queue, if none is under way.
-void Bureau::Begin(Time now) {
+void Bureau::Begin(TimePoint now) {
   if (life_ == 0) return;
   if (!change_) {
     if (queue_.empty()) return;
@@ -84,17 +84,19 @@
   }
 }
 
-void Bureau::Answered(Time now, std::size_t seat, const Message& answer) {
+void Bureau::Answered(TimePoint now, std::size_t seat, const Message& answer) {
   if (!change_ || paused_ || seat == kReplicas) return;
   std::vector<RecordProposer::Outgoing> out;
   Change::Verdict verdict = change_->Take(now, seat, answer, out);
   Post(std::move(out));
   if (verdict == Change::Verdict::kLost) {
-    met_ = std::max(met_, change_->record().met());
+    met_ = std::max(met_, change_->record().highest_seen());
     ++figures_.outrun;
     paused_ = true;
-    Span most = std::min(options_.pause_most, options_.pause_least * (1 << std::min(goes_, kMostDoublings)));
-    again_at_ = now + Span(static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(most.count())));
+    Duration most =
+        std::min(options_.pause_most, options_.pause_least * (1 << std::min(goes_, kMostDoublings)));
+    again_at_ =
+        now + Duration(static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(most.count())));
   } else if (verdict == Change::Verdict::kTell) {
     std::uint64_t before = news_;
     if (change_->catalogue())
@@ -175,7 +177,7 @@
   out_.push_back({to, std::move(say)});
 }
 
-void Bureau::Take(Time now, const std::string& from, const Say& say) {
+void Bureau::Take(TimePoint now, const std::string& from, const Say& say) {
   now_ = now;
   switch (say.kind) {
     case SayKind::kRegister: {
@@ -204,14 +206,14 @@
   // A seat that keeps what it has not heard to stand reads it, unless it hears of it meanwhile.
   auto slot = replica_.stored().find(kWork);
   bool lags = seated() && slot != replica_.stored().end() && slot->second.version > 0 &&
-              slot->second.kept > std::max(known_at_, met_);
+              slot->second.accepted > std::max(known_at_, met_);
   if (!lags)
     lag_since_ = {};
-  else if (lag_since_ == Time{})
+  else if (lag_since_ == TimePoint{})
     lag_since_ = now;
 }
 
-void Bureau::Tick(Time now) {
+void Bureau::Tick(TimePoint now) {
   now_ = now;
   if (change_ && now >= again_at_) {
     if (paused_ || now - begun_ >= options_.anew) {
@@ -225,8 +227,8 @@
   } else if (!change_) {
     Begin(now);
   }
-  if (seated() && !replica_.Votes(now, kWork) && now >= words_at_) AskToSit(now);
-  if (lag_since_ != Time{} && now - lag_since_ >= options_.lag) {
+  if (seated() && !replica_.MayVote(now, kWork) && now >= words_at_) AskToSit(now);
+  if (lag_since_ != TimePoint{} && now - lag_since_ >= options_.lag) {
     lag_since_ = now;
     if (queue_.empty()) Bring(now, "", ReadOnly, [](const Answer&) {});
   }
@@ -237,11 +239,11 @@
   }
 }
 
-Time Bureau::Due() const {
-  Time due = news_at_;
+TimePoint Bureau::Due() const {
+  TimePoint due = news_at_;
   if (change_) due = std::min(due, again_at_);
-  if (seated() && !replica_.Votes(now_, kWork)) due = std::min(due, words_at_);
-  if (lag_since_ != Time{}) due = std::min(due, lag_since_ + options_.lag);
+  if (seated() && !replica_.MayVote(now_, kWork)) due = std::min(due, words_at_);
+  if (lag_since_ != TimePoint{}) due = std::min(due, lag_since_ + options_.lag);
   return due;
 }
 
--- a/src/compat/bureau.h
+++ b/src/compat/bureau.h
@@ -23,20 +23,20 @@
 
 namespace peatbend::compat {
 
-using failover::Span;
-using failover::Time;
+using failover::Duration;
+using failover::TimePoint;
 
 struct BureauOptions {
-  Span again = std::chrono::milliseconds{100};  // to seats that have not answered
-  Span anew = std::chrono::seconds{2};          // of a go that does not come to its end
+  Duration again = std::chrono::milliseconds{100};  // to seats that have not answered
+  Duration anew = std::chrono::seconds{2};          // of a go that does not come to its end
   // Before the next go of a change that was outrun: drawn up to the first, doubled each time up to the
   // second.
-  Span pause_least = std::chrono::milliseconds{40}, pause_most = std::chrono::seconds{2};
+  Duration pause_least = std::chrono::milliseconds{40}, pause_most = std::chrono::seconds{2};
   // Asked for by a seat that has started anew: at first, then more seldom, so that a slow answer is awaited.
-  Span words = std::chrono::milliseconds{300}, words_most = std::chrono::seconds{5};
-  Span news = std::chrono::seconds{2};  // what is known is told to one other
-  Span lag = std::chrono::seconds{1};   // a seat keeps what it has not heard to stand: it reads
-  std::size_t queue = 64;               // changes that wait
+  Duration words = std::chrono::milliseconds{300}, words_most = std::chrono::seconds{5};
+  Duration news = std::chrono::seconds{2};  // what is known is told to one other
+  Duration lag = std::chrono::seconds{1};   // a seat keeps what it has not heard to stand: it reads
+  std::size_t queue = 64;                   // changes that wait
   Catalogue::Bounds bounds;
 };
 
@@ -60,20 +60,20 @@
   // `nonce`: of no other start of any process. `others`: the routers that seem to be there; only says whom to
   // ask.
   Bureau(BureauOptions options, const failover::ReplicaSet& seats, std::string self, std::uint64_t life,
-         std::uint64_t nonce, Time now, std::function<std::vector<std::string>()> others);
+         std::uint64_t nonce, TimePoint now, std::function<std::vector<std::string>()> others);
 
   // Takes its seat, if it has one, with the memory of the former start where that was kept. Before it, it
   // answers nothing as a seat.
-  void Sit(Time now, const std::optional<Memory>& memory);
+  void Sit(TimePoint now, const std::optional<Memory>& memory);
   void SetLife(std::uint64_t life);
   // An operator's word: the register is new. The seat votes once both the others, told the same, have noted
   // it; never again, once it has voted.
-  void Found(Time now);
-  void Bring(Time now, std::string label, Change::Command command, Then then);
+  void Found(TimePoint now);
+  void Bring(TimePoint now, std::string label, Change::Command command, Then then);
   // From that router; also what this one has said to itself.
-  void Take(Time now, const std::string& from, const Say& say);
-  void Tick(Time now);
-  Time Due() const;
+  void Take(TimePoint now, const std::string& from, const Say& say);
+  void Tick(TimePoint now);
+  TimePoint Due() const;
 
   std::vector<Out> TakeOut() { return std::exchange(out_, {}); }
   std::vector<Told> TakeTold() { return std::exchange(told_, {}); }
@@ -81,7 +81,7 @@
   const Catalogue& known() const { return known_; }
   std::uint64_t news() const { return news_; }
   bool seated() const { return own_ < failover::kReplicas; }
-  bool votes(Time now) const { return seated() && replica_.Votes(now, kWork); }
+  bool votes(TimePoint now) const { return seated() && replica_.MayVote(now, kWork); }
   bool founding() const { return founds_ && !barred_; }
   // The word to found is refused: the others know of this seat from before.
   bool barred() const { return barred_; }
@@ -101,19 +101,19 @@
     Then then;
   };
   failover::RecordReplica::ReplicasFor ReplicasFor() const;
-  void Remember(Time now, const Memory& memory);
+  void Remember(TimePoint now, const Memory& memory);
   std::size_t SeatOf(const std::string& router) const;
   void Post(std::vector<failover::RecordProposer::Outgoing> out);
   void Send(const std::string& to, SayKind kind, std::uint64_t number = 0);
   void SendMessage(const std::string& to, const failover::Message& message);
   void TellNews(const std::string& to);
-  void Begin(Time now);
-  void Answered(Time now, std::size_t seat, const failover::Message& answer);
-  void TakeMessage(Time now, const std::string& from, const failover::Message& message);
-  void Asked(Time now, const std::string& from, const failover::Message& message);
-  void TakeFounding(Time now, const std::string& from, const Say& say);
+  void Begin(TimePoint now);
+  void Answered(TimePoint now, std::size_t seat, const failover::Message& answer);
+  void TakeMessage(TimePoint now, const std::string& from, const failover::Message& message);
+  void Asked(TimePoint now, const std::string& from, const failover::Message& message);
+  void TakeFounding(TimePoint now, const std::string& from, const Say& say);
   void TakeNews(const std::string& from, const Say& say);
-  void AskToSit(Time now);
+  void AskToSit(TimePoint now);
   void Learn(const failover::Ballot& ballot, Catalogue catalogue, std::string bytes);
 
   BureauOptions options_;
@@ -136,7 +136,7 @@
   failover::Ballot met_, written_;
   int goes_ = 0, asked_to_sit_ = 0;
   bool paused_ = false;
-  Time now_, begun_{}, again_at_{}, words_at_{}, news_at_{}, lag_since_{};
+  TimePoint now_, begun_{}, again_at_{}, words_at_{}, news_at_{}, lag_since_{};
 
   Catalogue known_;
   std::string known_bytes_;
--- a/src/compat/bureau_seat.cpp
+++ b/src/compat/bureau_seat.cpp
@@ -13,7 +13,7 @@
   return [seats = seats_](const std::string&) { return seats; };
 }
 
-void Bureau::Sit(Time now, const std::optional<Memory>& memory) {
+void Bureau::Sit(TimePoint now, const std::optional<Memory>& memory) {
   now_ = words_at_ = now;
   own_ = SeatOf(self_);
   if (!seated()) return;
@@ -25,15 +25,15 @@
 
 Memory Bureau::memory() const {
   Memory all;
-  all.sits = seated() && replica_.Votes(now_, kWork);
-  all.life = replica_.life();
+  all.sits = seated() && replica_.MayVote(now_, kWork);
+  all.life = replica_.generation();
   all.founding = founding_;
   all.words = words_;
   all.foundings = foundings_;
   auto at = replica_.stored().find(kWork);
   if (at == replica_.stored().end() || !all.sits) return all;
   all.promised = at->second.promised;
-  all.kept = at->second.kept;
+  all.kept = at->second.accepted;
   all.version = at->second.version;
   all.value = at->second.state.value;
   return all;
@@ -41,8 +41,8 @@
 
 // Said again to a seat that forgets nothing: what it had accepted, what it had promised, whom it gave its
 // word.
-void Bureau::Remember(Time now, const Memory& memory) {
-  replica_.SetLife(memory.life);
+void Bureau::Remember(TimePoint now, const Memory& memory) {
+  replica_.SetGeneration(memory.life);
   founding_ = memory.founding;
   words_ = memory.words;
   foundings_ = memory.foundings;
@@ -60,34 +60,34 @@
     said.ballot = memory.kept;
     said.version = memory.version;
     said.state.value = memory.value;
-    replica_.Take(now, said);
+    replica_.Handle(now, said);
   }
   if (memory.promised.round > 0) {
     said = {};
     said.operation = kWork;
     said.ballot = memory.promised;
-    replica_.Take(now, said);
+    replica_.Handle(now, said);
   }
 }
 
 void Bureau::SetLife(std::uint64_t life) {
   if (life <= life_) return;
   life_ = life;
-  std::uint64_t before = replica_.life();
-  replica_.SetLife(life);
-  if (seated() && replica_.life() != before) unsaved_ = true;
+  std::uint64_t before = replica_.generation();
+  replica_.SetGeneration(life);
+  if (seated() && replica_.generation() != before) unsaved_ = true;
 }
 
 // ---- Sitting ---------------------------------------------------------------------------------------------
 
-void Bureau::Found(Time now) {
-  if (!seated() || founds_ || replica_.Votes(now, kWork)) return;
+void Bureau::Found(TimePoint now) {
+  if (!seated() || founds_ || replica_.MayVote(now, kWork)) return;
   founds_ = unsaved_ = true;  // with its number, which the others are told
   words_at_ = now;
 }
 
 // A seat that does not vote: to be founded by both others' leave, or by both others' words.
-void Bureau::AskToSit(Time now) {
+void Bureau::AskToSit(TimePoint now) {
   words_at_ = now + options_.words;
   if (life_ == 0) return;
   // A founding takes each answer; words count only together, for the last asking.
@@ -106,14 +106,14 @@
   if (!founding()) ++figures_.words;
 }
 
-void Bureau::TakeFounding(Time now, const std::string& from, const Say& say) {
+void Bureau::TakeFounding(TimePoint now, const std::string& from, const Say& say) {
   std::size_t seat = SeatOf(from);
   if (!seated() || seat == kReplicas || seat == own_) return;
   if (say.kind == SayKind::kAskFound) {
     auto at = foundings_.find(from);
     bool other = at != foundings_.end() && at->second != say.number;
     if (other || words_.contains(from)) return Send(from, SayKind::kNotFound, say.number);
-    if (!founding() && !replica_.Votes(now, kWork)) return;  // nobody has told this one that it is new
+    if (!founding() && !replica_.MayVote(now, kWork)) return;  // nobody has told this one that it is new
     if (at == foundings_.end()) {
       foundings_[from] = say.number;
       unsaved_ = true;
@@ -127,22 +127,22 @@
   }
   agreed_[seat] = true;
   if (std::ranges::count(agreed_, true) + 1 < static_cast<long>(kReplicas)) return;
-  replica_ = RegisterSeat(now, true, self_, replica_.life(), ReplicasFor());
+  replica_ = RegisterSeat(now, true, self_, replica_.generation(), ReplicasFor());
   founds_ = false;
   unsaved_ = true;
 }
 
 // What is asked of the seat, and the words that it has asked for.
-void Bureau::Asked(Time now, const std::string& from, const Message& message) {
+void Bureau::Asked(TimePoint now, const std::string& from, const Message& message) {
   if (!seated() || life_ == 0) return;
   switch (message.kind) {
     case Kind::kSyncRequest: {
       // One that does not vote could vouch for nothing, and would keep the asker from being founded.
       if (SeatOf(from) == kReplicas || from == self_ || message.ballot.proposer.name != from) return;
-      if (!replica_.Votes(now, kWork)) return;
+      if (!replica_.MayVote(now, kWork)) return;
       std::uint64_t& noted = words_[from];
-      if (message.ballot.proposer.life > noted) {
-        noted = message.ballot.proposer.life;
+      if (message.ballot.proposer.generation > noted) {
+        noted = message.ballot.proposer.generation;
         unsaved_ = true;
       }
       for (const Message& word : replica_.AnswerSync(now, message)) SendMessage(from, word);
@@ -150,22 +150,22 @@
     }
     case Kind::kSyncDone:
     case Kind::kSyncRecord: {
-      if (SeatOf(from) == kReplicas || replica_.Votes(now, kWork)) return;
+      if (SeatOf(from) == kReplicas || replica_.MayVote(now, kWork)) return;
       replica_.HandleSync(now, from, message);
-      if (replica_.Votes(now, kWork)) founds_ = false, unsaved_ = true;
+      if (replica_.MayVote(now, kWork)) founds_ = false, unsaved_ = true;
       return;
     }
     case Kind::kPrepare:
     case Kind::kAccept: {
       if (message.operation != kWork || message.ballot.round == 0)
         return;  // of the register nothing is ever free
-      bool before = replica_.Votes(now, kWork);
+      bool before = replica_.MayVote(now, kWork);
       auto slot = replica_.stored().find(kWork);
       auto was = slot == replica_.stored().end() ? failover::RecordReplica::StoredRecord{} : slot->second;
-      Message answer = replica_.Take(now, message);
+      Message answer = replica_.Handle(now, message);
       slot = replica_.stored().find(kWork);
       if (before && slot != replica_.stored().end() &&
-          (slot->second.promised != was.promised || slot->second.kept != was.kept ||
+          (slot->second.promised != was.promised || slot->second.accepted != was.accepted ||
            slot->second.version != was.version))
         unsaved_ = true;
       return SendMessage(from, answer);
--- a/src/compat/covers.cpp
+++ b/src/compat/covers.cpp
@@ -127,7 +127,7 @@
   return said;
 }
 
-Covers::Verdict Covers::Read(failover::Time now, int place, std::string_view reader, std::string_view reads,
+Covers::Verdict Covers::Read(failover::TimePoint now, int place, std::string_view reader, std::string_view reads,
                              std::string_view statement) {
   if (reader.empty()) return {all_[static_cast<std::size_t>(place)].unstated ? Word::kMay : Word::kUnstated};
   auto said = StatementOf(reader, reads, statement);
@@ -142,7 +142,7 @@
 
 // One that does not stand by what is known. What is refused by that is refused by what stands, or the other
 // way round only until news comes; so nothing is brought that is known to be refused.
-Covers::Verdict Covers::Judge(failover::Time now, int place, const Statement& statement) {
+Covers::Verdict Covers::Judge(failover::TimePoint now, int place, const Statement& statement) {
   Name name{place, std::string(statement.reader), statement.reads, statement.number};
   auto at = waiting_.find(name);
   if (at != waiting_.end() && at->second.brought) return {Word::kJoining};
@@ -169,12 +169,12 @@
   return {Word::kRefused, answer.objections.front().Text()};
 }
 
-void Covers::Refuse(failover::Time now, Waiting& waiting) {
+void Covers::Refuse(failover::TimePoint now, Waiting& waiting) {
   waiting.news = news_;
   waiting.until = now + bounds_.again;
 }
 
-void Covers::Told(failover::Time now, int place, const Statement& statement, const Answer& answer) {
+void Covers::Told(failover::TimePoint now, int place, const Statement& statement, const Answer& answer) {
   auto at = waiting_.find({place, std::string(statement.reader), statement.reads, statement.number});
   if (at == waiting_.end() || !std::exchange(at->second.brought, false)) return;
   --joining_;
--- a/src/compat/covers.h
+++ b/src/compat/covers.h
@@ -79,7 +79,7 @@
     std::size_t joining = 32;          // readers whose joining has been brought and not answered
     std::size_t refused = 1024;        // that are remembered; beyond, they are judged again
     std::size_t judged_a_second = 20;  // that did not stand: each is tried on a copy of what is known
-    failover::Span again = std::chrono::seconds(1);  // until one refused is judged again, where news came
+    failover::Duration again = std::chrono::seconds(1);  // until one refused is judged again, where news came
   };
 
   // Each class and tenant is in one of them at most. `classes`, `tenants`: how many the settings have.
@@ -101,10 +101,10 @@
   static std::optional<Statement> StatementOf(std::string_view reader, std::string_view reads,
                                               std::string_view statement);
   // A read, by its facts' texts. Waits for nobody: neither it nor Write allocates where the answer is kMay.
-  Verdict Read(failover::Time now, int place, std::string_view reader, std::string_view reads,
+  Verdict Read(failover::TimePoint now, int place, std::string_view reader, std::string_view reads,
                std::string_view statement);
   // What came of a joining that Read asked to bring.
-  void Told(failover::Time now, int place, const Statement& statement, const Answer& answer);
+  void Told(failover::TimePoint now, int place, const Statement& statement, const Answer& answer);
 
   std::size_t joining() const { return joining_; }
   std::size_t refused() const { return waiting_.size() - joining_; }
@@ -126,7 +126,7 @@
   struct Waiting {  // one that does not stand: brought, or refused
     bool brought = false;
     std::uint64_t news = 0;
-    failover::Time until{};
+    failover::TimePoint until{};
   };
   struct Name {
     int place;
@@ -138,8 +138,8 @@
   std::size_t Cell(int cls, int tenant) const {
     return static_cast<std::size_t>(cls) * (tenants_ + 1) + static_cast<std::size_t>(tenant + 1);
   }
-  Verdict Judge(failover::Time now, int place, const Statement& statement);
-  void Refuse(failover::Time now, Waiting& waiting);
+  Verdict Judge(failover::TimePoint now, int place, const Statement& statement);
+  void Refuse(failover::TimePoint now, Waiting& waiting);
 
   std::vector<Covering> all_;
   Bounds bounds_;
@@ -150,7 +150,7 @@
   std::uint64_t news_ = 0;
   std::map<Name, Waiting> waiting_;
   std::size_t joining_ = 0;
-  failover::Time second_{};  // that judged_ counts
+  failover::TimePoint second_{};  // that judged_ counts
   std::size_t judged_ = 0;
 };
 
--- a/src/compat/librarian.cpp
+++ b/src/compat/librarian.cpp
@@ -8,8 +8,8 @@
 
 namespace peatbend::compat {
 
-using failover::Span;
-using failover::Time;
+using failover::Duration;
+using failover::TimePoint;
 
 namespace {
 
@@ -185,7 +185,7 @@
 
 // ---- What is in force -------------------------------------------------------------------------------------
 
-void Librarian::Hold(Time now) {
+void Librarian::Hold(TimePoint now) {
   std::uint32_t version = accepted();
   if (version == 0 || version == held_) return;
   const Version& last = subject()->versions.back();
@@ -213,7 +213,7 @@
 }
 
 // Asks another router for the text.
-void Librarian::Fetch(Time now) {
+void Librarian::Fetch(TimePoint now) {
   fetch_at_ = now + kAskAgain;
   coming_.clear();
   std::vector<std::string> others = calls_.others();
@@ -228,7 +228,7 @@
   calls_.send(from_, ask);
 }
 
-void Librarian::Take(Time now, const std::string& from, const Say& say) {
+void Librarian::Take(TimePoint now, const std::string& from, const Say& say) {
   if (say.kind == SayKind::kAskBook) {
     Say answer;
     answer.kind = SayKind::kBook;
@@ -258,7 +258,7 @@
   calls_.send(from, ask);
 }
 
-void Librarian::Arrived(Time now, const std::string& from) {
+void Librarian::Arrived(TimePoint now, const std::string& from) {
   std::string text = std::exchange(coming_, {}), why;
   Table table = calls_.read(text, why);
   if (table != nullptr && table->print == wanted_) {
@@ -270,8 +270,8 @@
   fetch_at_ = now + kAskLater;
 }
 
-void Librarian::Step(Time now) {
-  due_ = Time::max();
+void Librarian::Step(TimePoint now) {
+  due_ = TimePoint::max();
   const Standing* own = StandingOf(self_);
   if (reader_ == Reader::kReads && own != nullptr && own->evidence == Evidence::kRetired &&
       own->statement >= statement_) {
--- a/src/compat/librarian.h
+++ b/src/compat/librarian.h
@@ -41,10 +41,10 @@
 
   // An operator's word: this book is to be in force.
   void Propose(Book book);
-  void Take(failover::Time now, const std::string& from, const Say& say);
+  void Take(failover::TimePoint now, const std::string& from, const Say& say);
   // With each news of the catalogue, and when it is due.
-  void Step(failover::Time now);
-  failover::Time Due() const { return wanted_ != 0 ? std::min(due_, fetch_at_) : due_; }
+  void Step(failover::TimePoint now);
+  failover::TimePoint Due() const { return wanted_ != 0 ? std::min(due_, fetch_at_) : due_; }
 
   std::uint32_t accepted() const;                // the last version; 0: none
   std::uint32_t holds() const { return held_; }  // here; 0: one that was not agreed on
@@ -58,9 +58,9 @@
   void Joined(const Answer& answer);
   void ProposeNext();
   void Refuse(const std::string& what, std::uint64_t print, const Answer& answer);
-  void Hold(failover::Time now);
-  void Fetch(failover::Time now);
-  void Arrived(failover::Time now, const std::string& from);
+  void Hold(failover::TimePoint now);
+  void Fetch(failover::TimePoint now);
+  void Arrived(failover::TimePoint now, const std::string& from);
   const Book* Find(std::uint64_t print) const;
   void Shelve(Book book);
 
@@ -88,7 +88,7 @@
   std::uint64_t wanted_ = 0;             // print of the text that is fetched
   std::string coming_, from_;
   std::size_t without_ = 0;  // routers that said in turn that they lack it
-  failover::Time due_{}, fetch_at_{};
+  failover::TimePoint due_{}, fetch_at_{};
 };
 
 }  // namespace peatbend::compat
--- a/src/compat/register.cpp
+++ b/src/compat/register.cpp
@@ -4,21 +4,22 @@
 
 using failover::RecordProposer;
 
-failover::RecordReplica RegisterSeat(failover::Time now, bool found, std::string self, std::uint64_t life,
-                                     failover::RecordReplica::ReplicasFor replicas_for, std::size_t bytes) {
+failover::RecordReplica RegisterSeat(failover::TimePoint now, bool found, std::string self,
+                                     std::uint64_t life, failover::RecordReplica::ReplicasFor replicas_for,
+                                     std::size_t bytes) {
   return failover::RecordReplica({.lifetime = kForEver, .bytes = bytes}, found ? now - kForEver : now,
                                  std::move(self), life, std::move(replicas_for));
 }
 
-void Change::Begin(failover::Time now, std::vector<RecordProposer::Outgoing>& out) {
+void Change::Begin(failover::TimePoint now, std::vector<RecordProposer::Outgoing>& out) {
   answer_ = {};
   catalogue_.reset();
-  record_.Ask(now, out);
+  record_.Prepare(now, out);
 }
 
-Change::Verdict Change::Take(failover::Time now, std::size_t seat, const failover::Message& answer,
+Change::Verdict Change::Take(failover::TimePoint now, std::size_t seat, const failover::Message& answer,
                              std::vector<RecordProposer::Outgoing>& out) {
-  if (!record_.Take(now, seat, answer)) return Verdict::kNothing;
+  if (!record_.Handle(now, seat, answer)) return Verdict::kNothing;
   switch (record_.phase()) {
     case RecordProposer::Phase::kRead: {
       failover::RecordState next = record_.state();
--- a/src/compat/register.h
+++ b/src/compat/register.h
@@ -16,13 +16,13 @@
 namespace peatbend::compat {
 
 // A register is never forgotten; RecordReplica::Forget may be called, and drops none.
-constexpr failover::Span kForEver = std::chrono::hours(24 * 365 * 100);
+constexpr failover::Duration kForEver = std::chrono::hours(24 * 365 * 100);
 
 // A seat of registers. `found`: by an operator's word, once, when the register is new: it votes at once, as
 // one that has forgotten nothing. Otherwise it votes after both the others' state transfers
 // (RecordReplica::RequestSync). A seat that is started again as if it were new forgets what was accepted.
-failover::RecordReplica RegisterSeat(failover::Time now, bool found, std::string self, std::uint64_t life,
-                                     failover::RecordReplica::ReplicasFor replicas_for,
+failover::RecordReplica RegisterSeat(failover::TimePoint now, bool found, std::string self,
+                                     std::uint64_t life, failover::RecordReplica::ReplicasFor replicas_for,
                                      std::size_t bytes = 4u << 20);
 
 // One command brought to the register. One owner, one thread.
@@ -43,14 +43,14 @@
       : record_(std::move(work), std::move(proposer)), command_(std::move(command)), bounds_(bounds) {}
 
   // The next go asks above that ballot.
-  void Above(const failover::Ballot& met) { record_.Above(met); }
+  void Above(const failover::Ballot& met) { record_.ObserveBallot(met); }
   // Also again: after kLost, or in place of a go that does not come to its end.
-  void Begin(failover::Time now, std::vector<failover::RecordProposer::Outgoing>& out);
+  void Begin(failover::TimePoint now, std::vector<failover::RecordProposer::Outgoing>& out);
   // Once more to the seats that have not answered.
-  void Again(failover::Time now, std::vector<failover::RecordProposer::Outgoing>& out) const {
-    record_.Again(now, out);
+  void Again(failover::TimePoint now, std::vector<failover::RecordProposer::Outgoing>& out) const {
+    record_.Resend(now, out);
   }
-  Verdict Take(failover::Time now, std::size_t seat, const failover::Message& answer,
+  Verdict Take(failover::TimePoint now, std::size_t seat, const failover::Message& answer,
                std::vector<failover::RecordProposer::Outgoing>& out);
 
   const Answer& answer() const { return answer_; }
--- a/src/compat/wire.cpp
+++ b/src/compat/wire.cpp
@@ -17,14 +17,14 @@
 constexpr std::size_t kMostName = 64, kMostNames = 64, kMostValue = 256u << 10;
 
 json ToJson(const Ballot& ballot) {
-  return json::array({ballot.round, ballot.proposer.name, ballot.proposer.life, ballot.proposer.proposal});
+  return json::array({ballot.round, ballot.proposer.name, ballot.proposer.generation, ballot.proposer.proposal});
 }
 bool Read(const json* from, Ballot& ballot) {
   if (from == nullptr) return false;
   FieldReader fields(*from);
   return fields.Number(ballot.round, kAny)
       .Text(ballot.proposer.name, kMostName)
-      .Number(ballot.proposer.life, kAny)
+      .Number(ballot.proposer.generation, kAny)
       .Number(ballot.proposer.proposal, kAny)
       .fine();
 }
--- a/src/failover/operation_ownership.cpp
+++ b/src/failover/operation_ownership.cpp
@@ -4,23 +4,23 @@
 
 namespace peatbend::failover {
 
-RecoveryAction NextAction(const RecordState& state, const ClassSettings& cls, Span age, Span unsure) {
+RecoveryAction NextAction(const RecordState& state, const ClassSettings& cls, Duration age,
+                          Duration uncertainty) {
   if (state.final()) return RecoveryAction::kAnswer;
   bool ran = std::ranges::any_of(state.attempts, &AttemptRecord::may_have_run);
   if (!ran) return RecoveryAction::kSend;
   if (cls.effect == Effect::kSafe) return RecoveryAction::kRetry;
   if (cls.effect == Effect::kUnsafe) return RecoveryAction::kFail;
-  return age + unsure < cls.window ? RecoveryAction::kRetry : RecoveryAction::kFail;
+  return age + uncertainty < cls.window ? RecoveryAction::kRetry : RecoveryAction::kFail;
 }
 
-// What is committed, with what this process knows of its own attempts: one that was neither permitted nor is
-// wanted now has not run, and will not.
-RecordState OperationOwnership::Known() const {
+// An own attempt that was neither sent nor is being proposed has not run and never will.
+RecordState OperationOwnership::KnownState() const {
   RecordState known = record_.state();
   for (AttemptRecord& attempt : known.attempts) {
     if (attempt.by != record_.proposer()) continue;
-    bool wanted = !server_.empty() && attempt.number == number_;
-    attempt.may_have_run = wanted || may_have_run_.contains(attempt.number);
+    bool proposed = !proposed_server_.empty() && attempt.number == last_attempt_;
+    attempt.may_have_run = proposed || may_have_run_.contains(attempt.number);
   }
   return known;
 }
@@ -31,101 +31,103 @@
   });
 }
 
-bool OperationOwnership::RanElsewhere() const {
+bool OperationOwnership::MayHaveRunElsewhere() const {
   return std::ranges::any_of(record_.state().attempts, [this](const AttemptRecord& attempt) {
     return attempt.by != record_.proposer() && attempt.may_have_run;
   });
 }
 
-void OperationOwnership::Want(Time now, const std::string& server,
-                              std::vector<RecordProposer::Outgoing>& out) {
-  server_.clear();
-  RecordState next = Known();
+void OperationOwnership::RequestAttempt(TimePoint now, const std::string& server,
+                                        std::vector<RecordProposer::Outgoing>& out) {
+  proposed_server_.clear();
+  RecordState next = KnownState();
   if (next.final() || record_.phase() == RecordProposer::Phase::kLost ||
       record_.phase() == RecordProposer::Phase::kPreparing)
     return;
-  next.outcome = OperationOutcome::kNone;  // a reject is over with the next who asks
+  next.outcome = OperationOutcome::kNone;  // a new request supersedes a rejection
   next.released = false;
-  server_ = server;
-  next.attempts.push_back({record_.proposer(), ++number_, server, true});
+  proposed_server_ = server;
+  next.attempts.push_back({record_.proposer(), ++last_attempt_, server, true});
   record_.Write(now, std::move(next), out);
 }
 
-void OperationOwnership::NeverRan() { may_have_run_.erase(sent_); }
+void OperationOwnership::OnNeverRan() { may_have_run_.erase(last_sent_); }
 
-void OperationOwnership::Finish(Time now, OperationOutcome outcome, std::string value,
-                                std::vector<RecordProposer::Outgoing>& out, bool kept) {
-  server_.clear();
+void OperationOwnership::Finish(TimePoint now, OperationOutcome outcome, std::string value,
+                                std::vector<RecordProposer::Outgoing>& out, bool store_value) {
+  proposed_server_.clear();
   outcome_ = outcome;
   value_ = std::move(value);
-  kept_ = kept;
+  store_value_ = store_value;
   if (record_.phase() == RecordProposer::Phase::kLost) return TakeOver(now, out);
-  if (record_.phase() == RecordProposer::Phase::kPreparing) return;  // once it is read
-  RecordState next = Known();
+  if (record_.phase() == RecordProposer::Phase::kPreparing)
+    return;  // repeated by Handle() once the state is read
+  RecordState next = KnownState();
   own_outcome_ = !next.final();
   if (own_outcome_) {
     next.outcome = outcome_;
-    next.value = kept_ ? value_ : std::string();
-    next.kept = kept_;
+    next.value = store_value_ ? value_ : std::string();
+    next.value_stored = store_value_;
     next.released = false;
   }
   record_.Write(now, std::move(next), out);
 }
 
-void OperationOwnership::Release(Time now, std::vector<RecordProposer::Outgoing>& out) {
-  server_.clear();
-  bool wrote =
+void OperationOwnership::Release(TimePoint now, std::vector<RecordProposer::Outgoing>& out) {
+  proposed_server_.clear();
+  bool may_write =
       record_.phase() == RecordProposer::Phase::kWriting || record_.phase() == RecordProposer::Phase::kOwner;
-  RecordState next = Known();
-  if (!wrote || next.final()) return;
+  RecordState next = KnownState();
+  if (!may_write || next.final()) return;
   next.released = true;
   record_.Write(now, std::move(next), out);
 }
 
-void OperationOwnership::TakeOver(Time now, std::vector<RecordProposer::Outgoing>& out) {
-  server_.clear();
-  record_.Ask(now, out);
+void OperationOwnership::TakeOver(TimePoint now, std::vector<RecordProposer::Outgoing>& out) {
+  proposed_server_.clear();
+  record_.Prepare(now, out);
 }
 
-OwnershipResult OperationOwnership::Take(Time now, std::size_t replica, const Message& answer,
-                                         std::vector<RecordProposer::Outgoing>& out) {
-  if (!record_.Take(now, replica, answer)) return OwnershipResult::kNothing;
+OwnershipResult OperationOwnership::Handle(TimePoint now, std::size_t replica, const Message& reply,
+                                           std::vector<RecordProposer::Outgoing>& out) {
+  if (!record_.Handle(now, replica, reply)) return OwnershipResult::kNothing;
   switch (record_.phase()) {
     case RecordProposer::Phase::kOwner:
       if (record_.state().outcome != OperationOutcome::kNone) return OwnershipResult::kAnswer;
-      if (server_.empty()) return OwnershipResult::kNothing;
-      if (record_.since(now) > send_permit_) {
-        server_.clear();  // so that attempt has not run
+      if (proposed_server_.empty()) return OwnershipResult::kNothing;
+      if (record_.elapsed(now) > send_permit_) {
+        proposed_server_.clear();  // marks the attempt as not run
         return OwnershipResult::kExpired;
       }
-      server_.clear();
-      sent_ = number_;
-      may_have_run_.insert(sent_);
+      proposed_server_.clear();
+      last_sent_ = last_attempt_;
+      may_have_run_.insert(last_sent_);
       return OwnershipResult::kSend;
     case RecordProposer::Phase::kRead:
-      if (outcome_ == OperationOutcome::kRejected && RanElsewhere()) outcome_ = OperationOutcome::kFailed;
+      if (outcome_ == OperationOutcome::kRejected && MayHaveRunElsewhere())
+        outcome_ = OperationOutcome::kFailed;
       if (outcome_ != OperationOutcome::kNone || record_.state().final()) {
-        Finish(now, outcome_, value_, out, kept_);
+        Finish(now, outcome_, value_, out, store_value_);
         return OwnershipResult::kNothing;
       }
       return OwnershipResult::kRead;
     case RecordProposer::Phase::kLost:
-      server_.clear();
+      proposed_server_.clear();
       return OwnershipResult::kLost;
     default:
       return OwnershipResult::kNothing;
   }
 }
 
-void OperationOwnership::Put(std::string& into) const {
-  record_.Put(into);
-  failover::Put(into, server_);
-  failover::Put(into, static_cast<std::uint64_t>(outcome_));
-  failover::Put(into, value_);
-  failover::Put(into, kept_ + 2u * own_outcome_);
-  failover::Put(into, number_);
-  failover::Put(into, sent_);
-  for (std::uint32_t number : may_have_run_) failover::Put(into, number);
+void OperationOwnership::AppendState(std::string& into) const {
+  record_.AppendState(into);
+  failover::AppendState(into, proposed_server_);
+  failover::AppendState(into, static_cast<std::uint64_t>(outcome_));
+  failover::AppendState(into, value_);
+  failover::AppendState(into, store_value_ + 2u * own_outcome_);
+  failover::AppendState(into, last_attempt_);
+  failover::AppendState(into, last_sent_);
+  for (std::uint32_t number : may_have_run_) failover::AppendState(into, number);
 }
 
 }  // namespace peatbend::failover
--- a/src/failover/operation_ownership.h
+++ b/src/failover/operation_ownership.h
@@ -1,6 +1,6 @@
-// One router's side of one operation: nothing is sent and no outcome is answered before the record of it is
-// committed. What is to be sent, whether again, and with what outcome, is decided elsewhere; here is only
-// whether it may happen. Free of I/O and clocks; one owner, one thread.
+// One router's ownership of one operation. Ensures that no attempt is sent and no outcome is returned before
+// the record of it is committed. The caller decides what to send, whether to retry, and which outcome to
+// propose. Contains no I/O and reads no clock; not thread-safe.
 #pragma once
 
 #include <set>
@@ -12,76 +12,77 @@
 
 namespace peatbend::failover {
 
-// What may be done with an operation that was read, by what its record proves.
+// The next step for an operation, derived from its record.
 enum class RecoveryAction {
-  kSend,   // nothing has run
-  kRetry,  // something may have run, and may be repeated: at servers that the class names
-  kFail,   // something may have run, and may not be repeated
-  kAnswer  // it has ended
+  kSend,   // no attempt has run
+  kRetry,  // an attempt may have run, and the class allows a retry
+  kFail,   // an attempt may have run, and must not be repeated
+  kAnswer  // the outcome is final
 };
 
-// `age`: since the first attempt was recorded, at the least. `unsure`: how much longer ago, or how much later
-// than recorded, an attempt may have been sent.
-RecoveryAction NextAction(const RecordState& state, const ClassSettings& cls, Span age, Span unsure);
+// `age`: lower bound of the time since the first attempt was recorded. `uncertainty`: how long after being
+// recorded an attempt may have been sent.
+RecoveryAction NextAction(const RecordState& state, const ClassSettings& cls, Duration age,
+                          Duration uncertainty);
 
-// What an answer of a replica leads to.
+// The effect of a reply from a replica.
 enum class OwnershipResult {
   kNothing,
-  kSend,     // the attempt that was asked for is committed: send it now, from within this call
-  kExpired,  // it is committed, but too long after it was asked for: decide again, as after kRead
-  kAnswer,   // the outcome is committed: state() is what everybody is answered
-  kRead,     // the operation is this one's to go on with, once it writes: see state()
-  kLost      // nacks, so that no majority is to be had: see preempted()
+  kSend,     // the requested attempt is committed; the caller must send it at once
+  kExpired,  // the attempt was committed too late to be sent; decide again, as after kRead
+  kAnswer,   // the outcome is committed; state() holds it for all clients
+  kRead,     // a majority promised; state() is what was read, and a write makes this router owner
+  kLost      // too many nacks for a majority; see preempted()
 };
 
 class OperationOwnership {
  public:
-  // `send_permit`: a permission that comes later than this after it was asked for is asked for again, so that
-  // a process that stood still, or was cut off, sends nothing on the strength of old knowledge.
-  OperationOwnership(std::string operation, Proposer proposer, Span send_permit)
+  // `send_permit`: an attempt committed later than this after its request is not sent. This stops a process
+  // that was suspended or disconnected from acting on outdated state.
+  OperationOwnership(std::string operation, Proposer proposer, Duration send_permit)
       : record_(std::move(operation), std::move(proposer)), send_permit_(send_permit) {}
 
-  // An attempt at that server is wanted: on an operation that is new, or after kRead, or after an outcome.
-  // Nothing happens where the operation has ended.
-  void Want(Time now, const std::string& server, std::vector<RecordProposer::Outgoing>& out);
-  // The attempt that was permitted last turned out to never have run.
-  void NeverRan();
-  // The outcome is wanted. Where the operation was lost meanwhile it is taken back first, if nobody has ended
-  // it. `kept`: the value is written too, not only that there is one.
-  void Finish(Time now, OperationOutcome outcome, std::string value,
-              std::vector<RecordProposer::Outgoing>& out, bool kept = true);
-  // Nothing more is done for it here; whoever asks may take it over at once.
-  void Release(Time now, std::vector<RecordProposer::Outgoing>& out);
-  // Tries to take the operation over, or to learn its outcome.
-  void TakeOver(Time now, std::vector<RecordProposer::Outgoing>& out);
-  // Once more to those who have not answered.
-  void Again(Time now, std::vector<RecordProposer::Outgoing>& out) const { record_.Again(now, out); }
-  OwnershipResult Take(Time now, std::size_t replica, const Message& answer,
-                       std::vector<RecordProposer::Outgoing>& out);
+  // Proposes an attempt at `server`. Allowed for a new operation, after kRead, and after a rejection. Does
+  // nothing if the outcome is final.
+  void RequestAttempt(TimePoint now, const std::string& server, std::vector<RecordProposer::Outgoing>& out);
+  // Reports that the last attempt that was sent never ran.
+  void OnNeverRan();
+  // Proposes the outcome. If another router has taken the operation over, it is first taken back, unless its
+  // outcome is final. `store_value`: false records only that there is a value.
+  void Finish(TimePoint now, OperationOutcome outcome, std::string value,
+              std::vector<RecordProposer::Outgoing>& out, bool store_value = true);
+  // Gives the operation up: the next router that is asked may take it over at once.
+  void Release(TimePoint now, std::vector<RecordProposer::Outgoing>& out);
+  // Starts a new round to take the operation over, or to learn its outcome.
+  void TakeOver(TimePoint now, std::vector<RecordProposer::Outgoing>& out);
+  // Repeats the pending request to the replicas that have not replied.
+  void Resend(TimePoint now, std::vector<RecordProposer::Outgoing>& out) const { record_.Resend(now, out); }
+  OwnershipResult Handle(TimePoint now, std::size_t replica, const Message& reply,
+                         std::vector<RecordProposer::Outgoing>& out);
 
   const RecordProposer& record() const { return record_; }
   const RecordState& state() const { return record_.state(); }
-  // What is committed, with what this process knows of its own attempts beyond it.
-  RecordState Known() const;
-  // Whether an attempt may have run, as far as is known here: the one that is wanted now has not.
+  // The committed state, updated with what this process knows about its own attempts.
+  RecordState KnownState() const;
+  // Whether an attempt may have run. The attempt that is still being proposed has not.
   bool MayHaveRun() const;
   bool preempted() const { return record_.preempted(); }
-  bool RanElsewhere() const;  // by others, or may have
-  // The outcome that is wanted; and whether the committed one is this.
+  bool MayHaveRunElsewhere() const;  // an attempt by another proposer
+  // The proposed outcome and value, and whether the committed outcome is this one.
   OperationOutcome outcome() const { return outcome_; }
   const std::string& value() const { return value_; }
   bool own_outcome() const { return own_outcome_; }
-  void Put(std::string& into) const;  // see RecordProposer::Put; without what belongs to a replica
+  void AppendState(std::string& into) const;  // as RecordProposer::AppendState, without per-replica state
 
  private:
   RecordProposer record_;
-  Span send_permit_;
-  std::string server_;  // wanted and not yet permitted
+  Duration send_permit_;
+  std::string proposed_server_;  // of the proposed attempt; empty: none
   OperationOutcome outcome_ = OperationOutcome::kNone;
   std::string value_;
-  bool kept_ = true, own_outcome_ = false;
-  std::uint32_t number_ = 0, sent_ = 0;
-  std::set<std::uint32_t> may_have_run_;  // own attempts that were permitted
+  bool store_value_ = true, own_outcome_ = false;
+  std::uint32_t last_attempt_ = 0, last_sent_ = 0;
+  std::set<std::uint32_t> may_have_run_;  // own attempts that were sent
 };
 
 }  // namespace peatbend::failover
--- a/src/failover/record_proposer.h
+++ b/src/failover/record_proposer.h
@@ -1,11 +1,11 @@
-// One process's proposals on the record of one operation: it writes the record at a majority of the replicas
-// before anything is sent or answered, and learns when another has taken the operation over. Whether to try,
-// and when, is the caller's: the argument rests on none of it. Replicas are numbered from 0; the caller
-// carries messages to them.
+// The proposer side of the protocol (a variant of Paxos) for the record of one operation: commits states at a
+// majority of the replicas, and detects that another proposer has taken over. The caller decides when to
+// propose and when to retry; safety does not depend on it. Replicas are numbered from 0, and the caller
+// delivers the messages.
 //
 //   idle --Write--> writing --majority--> owner --Write--> writing ...
-//   idle, lost --Ask--> preparing --majority--> read --Write--> writing
-//   writing, preparing --nacks of so many that no majority is left--> lost
+//   idle, lost --Prepare--> preparing --majority--> read --Write--> writing
+//   writing, preparing --too many nacks for a majority--> lost
 #pragma once
 
 #include <algorithm>
@@ -29,43 +29,45 @@
   RecordProposer(std::string operation, Proposer proposer)
       : operation_(std::move(operation)), proposer_(std::move(proposer)) {}
 
-  // Asks for the promises of a higher round than any that it has met.
-  void Ask(Time now, std::vector<Outgoing>& out);
-  // For an operation that this process knows nothing of; as owner or after read; or in place of a write that
-  // is not committed. `next` is built upon state(). An attempt that is left out of `next` must not be sent
-  // any more.
-  void Write(Time now, RecordState next, std::vector<Outgoing>& out);
-  // What it asks for next is above that ballot, as if it had met it.
-  void Above(const Ballot& met) { met_ = std::max(met_, met); }
-  // Once more to those replicas that have not answered.
-  void Again(Time now, std::vector<Outgoing>& out) const;
-  // An answer of that replica. True if the phase has changed.
-  bool Take(Time now, std::size_t replica, const Message& answer);
+  // Requests promises for a round above any that was seen.
+  void Prepare(TimePoint now, std::vector<Outgoing>& out);
+  // Proposes `next`, which must be derived from state(). Allowed for an operation that this process knows
+  // nothing of, as owner, after a read, and to replace a write that is not committed. An attempt that is not
+  // in `next` must no longer be sent.
+  void Write(TimePoint now, RecordState next, std::vector<Outgoing>& out);
+  // Makes the next round higher than that of `ballot`.
+  void ObserveBallot(const Ballot& ballot) { highest_seen_ = std::max(highest_seen_, ballot); }
+  // Repeats the pending request to the replicas that have not replied.
+  void Resend(TimePoint now, std::vector<Outgoing>& out) const;
+  // Handles a reply of a replica. Returns true if the phase changed.
+  bool Handle(TimePoint now, std::size_t replica, const Message& reply);
 
   Phase phase() const { return phase_; }
   const RecordState& state() const { return state_; }
   const std::string& operation() const { return operation_; }
   const Proposer& proposer() const { return proposer_; }
-  // As owner: since it asked for what is now committed. Who is about to send and finds this too long asks
-  // again.
-  Span since(Time now) const { return now - asked_; }
-  // Since the first attempt was recorded, never less than that: what a window is counted by.
-  Span age(Time now) const { return state_.attempts.empty() ? Span{} : now - first_; }
-  // Lost: whom the operation belongs to, as far as is known; and whether another has it, or replicas were
-  // only full, recovering or silent.
-  const Ballot& met() const { return met_; }
+  // As owner: the time since the committed write was first sent. An attempt must not be sent if this exceeds
+  // the send permit.
+  Duration elapsed(TimePoint now) const { return now - phase_started_; }
+  // Lower bound of the time since the first attempt was recorded; zero without one. The idempotency window is
+  // measured by it.
+  Duration age(TimePoint now) const { return state_.attempts.empty() ? Duration{} : now - first_attempt_; }
+  // The highest ballot reported by a nack.
+  const Ballot& highest_seen() const { return highest_seen_; }
+  // In phase kLost: true if another proposer prevailed; false if replicas were only full or recovering.
   bool preempted() const { return preempted_; }
-  // Whether an answer of that replica could change anything, now or later.
-  bool Waits(std::size_t replica, const Message& answer) const;
-  // All that its next actions depend on, without and then for one replica; see Put of a state.
-  void Put(std::string& into) const;
-  void Put(std::size_t replica, std::string& into) const;
+  // Whether Handle() would act on `reply`.
+  bool Expects(std::size_t replica, const Message& reply) const;
+  // Append all state that later behaviour depends on: the shared part, and the part kept for one replica. See
+  // AppendState in record.h.
+  void AppendState(std::string& into) const;
+  void AppendState(std::size_t replica, std::string& into) const;
 
  private:
-  Message Question() const;
-  bool InDoubt() const { return phase_ == Phase::kPreparing || phase_ == Phase::kWriting; }
-  void Start(Time now, Phase phase);
-  void Read(std::size_t one, std::size_t other);
+  Message MakeRequest() const;
+  bool InProgress() const { return phase_ == Phase::kPreparing || phase_ == Phase::kWriting; }
+  void EnterPhase(TimePoint now, Phase phase);
+  void AdoptState(std::size_t one, std::size_t other);
 
   std::string operation_;
   Proposer proposer_;
@@ -73,11 +75,11 @@
   std::uint64_t round_ = 0;
   std::uint32_t version_ = 0;
   RecordState state_;
-  Time asked_{}, first_{};
-  Ballot met_;
+  TimePoint phase_started_{}, first_attempt_{};
+  Ballot highest_seen_;
   bool preempted_ = false;
-  std::array<bool, kReplicas> yes_{}, no_{};
-  std::array<Lives, kReplicas> lives_{};
+  std::array<bool, kReplicas> acked_{}, nacked_{};
+  std::array<Generations, kReplicas> generations_{};
   std::array<std::optional<Message>, kReplicas> promises_;
 };
 
--- a/src/failover/record_reader.cpp
+++ b/src/failover/record_reader.cpp
@@ -5,9 +5,9 @@
 
 namespace peatbend::failover {
 
-void RecordReader::Ask(std::vector<RecordProposer::Outgoing>& out) {
+void RecordReader::StartRead(std::vector<RecordProposer::Outgoing>& out) {
   ++round_;
-  seen_ = {};
+  replies_ = {};
   Message message;
   message.kind = Kind::kRead;
   message.operation = operation_;
@@ -15,54 +15,59 @@
   for (std::size_t replica = 0; replica < kReplicas; ++replica) out.push_back({replica, message});
 }
 
-bool RecordReader::Waits(std::size_t replica, const Message& answer) const {
-  return replica < kReplicas && !seen_[replica] && answer.kind == Kind::kReadResult &&
-         answer.operation == operation_ && answer.ballot == Ballot{round_, proposer_};
+bool RecordReader::Expects(std::size_t replica, const Message& reply) const {
+  return replica < kReplicas && !replies_[replica] && reply.kind == Kind::kReadResult &&
+         reply.operation == operation_ && reply.ballot == Ballot{round_, proposer_};
 }
 
-void RecordReader::Take(std::size_t replica, const Message& answer) {
-  if (Waits(replica, answer)) seen_[replica] = answer;
+void RecordReader::Handle(std::size_t replica, const Message& reply) {
+  if (Expects(replica, reply)) replies_[replica] = reply;
 }
 
 const RecordState* RecordReader::Outcome() const {
   for (std::size_t one = 0; one < kReplicas; ++one) {
     for (std::size_t other = one + 1; other < kReplicas; ++other) {
-      if (!seen_[one] || !seen_[other] || !seen_[one]->state.final() || !seen_[other]->state.final())
+      if (!replies_[one] || !replies_[other] || !replies_[one]->state.final() ||
+          !replies_[other]->state.final())
         continue;
-      if (seen_[one]->copied || seen_[other]->copied || seen_[one]->kept != seen_[other]->kept) continue;
-      if (Agree(one, seen_[one]->lives, other, seen_[other]->lives)) return &seen_[one]->state;
+      if (replies_[one]->copied || replies_[other]->copied ||
+          replies_[one]->accepted != replies_[other]->accepted)
+        continue;
+      if (GenerationsAgree(one, replies_[one]->generations, other, replies_[other]->generations))
+        return &replies_[one]->state;
     }
   }
   return nullptr;
 }
 
-const Message* RecordReader::Highest() const {
+const Message* RecordReader::HighestReply() const {
   const Message* highest = nullptr;
-  for (const auto& seen : seen_) {
-    if (!seen || seen->version == 0) continue;
-    if (highest == nullptr || std::tie(seen->kept, seen->version) > std::tie(highest->kept, highest->version))
-      highest = &*seen;
+  for (const auto& reply : replies_) {
+    if (!reply || reply->version == 0) continue;
+    if (highest == nullptr ||
+        std::tie(reply->accepted, reply->version) > std::tie(highest->accepted, highest->version))
+      highest = &*reply;
   }
   return highest;
 }
 
 std::optional<Proposer> RecordReader::Owner() const {
-  const Message* highest = Highest();
+  const Message* highest = HighestReply();
   if (highest == nullptr) return std::nullopt;
-  return highest->kept.proposer;
+  return highest->accepted.proposer;
 }
 
-bool RecordReader::Released() const {
-  const Message* highest = Highest();
+bool RecordReader::IsReleased() const {
+  const Message* highest = HighestReply();
   return highest != nullptr && highest->state.released;
 }
 
-bool RecordReader::Free() const {
-  auto told = std::ranges::count_if(seen_, [](const auto& seen) { return seen.has_value(); });
-  bool held = std::ranges::any_of(seen_, [](const auto& seen) {
-    return seen && seen->version > 0 && seen->state.outcome != failover::OperationOutcome::kRejected;
+bool RecordReader::IsUnclaimed() const {
+  auto replied = std::ranges::count_if(replies_, [](const auto& reply) { return reply.has_value(); });
+  bool held = std::ranges::any_of(replies_, [](const auto& reply) {
+    return reply && reply->version > 0 && reply->state.outcome != failover::OperationOutcome::kRejected;
   });
-  return told >= static_cast<long>(kMajority) && !held;
+  return replied >= static_cast<long>(kMajority) && !held;
 }
 
 }  // namespace peatbend::failover
--- a/src/failover/record_reader.h
+++ b/src/failover/record_reader.h
@@ -1,5 +1,5 @@
-// Reads a record without taking part: asks nobody for a promise, so it hinders nobody. For a router that
-// waits for an operation that another has.
+// Reads a record without requesting promises, so it does not preempt the owner. Used by a router that waits
+// for the outcome of an operation owned by another.
 #pragma once
 
 #include <array>
@@ -13,33 +13,32 @@
 
 class RecordReader {
  public:
-  // `proposer` tells one reader from another: of one process, no two have the same.
+  // `proposer` must be unique among the readers of this process.
   RecordReader(std::string operation, Proposer proposer)
       : operation_(std::move(operation)), proposer_(std::move(proposer)) {}
 
-  // Asks all replicas; what they answered before is forgotten.
-  void Ask(std::vector<RecordProposer::Outgoing>& out);
-  void Take(std::size_t replica, const Message& answer);
-  bool Waits(std::size_t replica, const Message& answer) const;
+  // Requests the state from all replicas and discards earlier replies.
+  void StartRead(std::vector<RecordProposer::Outgoing>& out);
+  void Handle(std::size_t replica, const Message& reply);
+  bool Expects(std::size_t replica, const Message& reply) const;
 
-  // The outcome, if it is committed: two replicas store one that is final, under one ballot. Such a state is
-  // never replaced.
+  // The outcome, if it is known to be committed: two replicas have accepted a final state under the same
+  // ballot. Such a state is never replaced. Null otherwise.
   const RecordState* Outcome() const;
-  // Whose operation it is, as far as two replicas have answered; nothing where they know of none, or have
-  // not.
+  // The proposer of the highest ballot among the replies; none if no replica that replied stores the record.
   std::optional<Proposer> Owner() const;
-  bool Released() const;  // by that owner
-  // Two replicas have answered, and neither knows of such an operation, or it was rejected: it may begin
-  // again.
-  bool Free() const;
+  bool IsReleased() const;  // true if that proposer has released the operation
+  // True if a majority replied and none of the replies holds the record, or only a rejected one: the
+  // operation may be started.
+  bool IsUnclaimed() const;
 
  private:
-  const Message* Highest() const;
+  const Message* HighestReply() const;
 
   std::string operation_;
   Proposer proposer_;
-  std::uint64_t round_ = 0;  // of asking
-  std::array<std::optional<Message>, kReplicas> seen_;
+  std::uint64_t round_ = 0;  // number of the current read
+  std::array<std::optional<Message>, kReplicas> replies_;
 };
 
 }  // namespace peatbend::failover
--- a/src/failover/record_replica.h
+++ b/src/failover/record_replica.h
@@ -1,7 +1,7 @@
-// One of the three that store a record: it promises, accepts and answers with nacks. It never forgets a
-// promise within a record's lifetime. A process that has just started may have forgotten some: it votes for
-// an operation only once both the other replicas have transferred their state to it, all records that they
-// share, or when no record of before its start can be alive. One owner, one thread.
+// One of the three replicas of a record (an acceptor in terms of Paxos). It keeps each promise for the
+// lifetime of the record. State is held in memory only, so a restarted process may have lost promises: it
+// takes part for an operation only after both other replicas have transferred to it all records that they
+// share, or once every record from before its start has expired. Not thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -19,76 +19,78 @@
 namespace peatbend::failover {
 
 struct RecordLimits {
-  Span lifetime =
-      std::chrono::seconds{20};  // of a record, from when it was last written: longest deadline and linger
-  std::size_t bytes = 4u << 20;  // of all records together
+  Duration lifetime = std::chrono::seconds{
+      20};  // of a record since it last changed: the longest class deadline and retain_ms
+  std::size_t bytes = 4u << 20;  // memory limit of all records together
 };
 
 class RecordReplica {
  public:
-  // The replicas of an operation, by name, in the one order.
+  // Returns the names of the replicas of an operation, in the order that all routers use.
   using ReplicasFor = std::function<std::array<std::string, kReplicas>(const std::string& operation)>;
-  // `now`: of the process's start. `life`: higher than that of any start before. Without `replicas_for`
-  // nobody is asked for a state transfer.
-  RecordReplica(RecordLimits limits, Time now, std::string self = {}, std::uint64_t life = 0,
+  // `now`: when the process started. `generation`: higher than that of any earlier start. Without
+  // `replicas_for` there are no state transfers.
+  RecordReplica(RecordLimits limits, TimePoint now, std::string self = {}, std::uint64_t generation = 0,
                 ReplicasFor replicas_for = {})
       : limits_(limits),
         started_(now),
         self_(std::move(self)),
-        life_(life),
+        generation_(generation),
         replicas_for_(std::move(replicas_for)) {}
 
-  // The answer to a prepare, an accept or a read.
-  Message Take(Time now, const Message& asked);
-  // Its life has moved on, with all that it keeps.
-  void SetLife(std::uint64_t life) { life_ = std::max(life_, life); }
-  std::uint64_t life() const { return life_; }
-  // What to ask those whose state transfer is not complete for all; what came of requests before is dropped.
+  // Returns the reply to a prepare, an accept or a read.
+  Message Handle(TimePoint now, const Message& request);
+  // Raises the generation of this process; the stored records stay valid.
+  void SetGeneration(std::uint64_t generation) { generation_ = std::max(generation_, generation); }
+  std::uint64_t generation() const { return generation_; }
+  // Returns the request for a state transfer, for the replicas whose transfer is not complete for all
+  // operations. Discards what was received for earlier requests.
   Message RequestSync();
-  bool HasSynced(const std::string& who) const { return HasSynced(who, "*"); }
-  // This one's state, for one that has restarted. From now on the asker's votes of former lives no longer
-  // count beside those of this one.
-  std::vector<Message> AnswerSync(Time now, const Message& asked);
-  void HandleSync(Time now, const std::string& from, const Message& message);
-  bool Votes(Time now, const std::string& operation) const;
+  bool HasSynced(const std::string& sender) const { return HasSynced(sender, "*"); }
+  // Returns the shared records for a restarted replica. From now on, votes of earlier generations of the
+  // requester no longer count together with those of this replica.
+  std::vector<Message> AnswerSync(TimePoint now, const Message& request);
+  void HandleSync(TimePoint now, const std::string& from, const Message& message);
+  bool MayVote(TimePoint now, const std::string& operation) const;
 
-  // Drops the records whose lifetime is over; to be called now and then.
-  void Forget(Time now);
+  // Drops expired records. To be called periodically.
+  void DropExpired(TimePoint now);
 
-  bool recovering(Time now) const { return now - started_ < limits_.lifetime; }
+  bool recovering(TimePoint now) const { return now - started_ < limits_.lifetime; }
   std::size_t records() const { return stored_.size(); }
   std::size_t bytes() const { return bytes_; }
   struct StoredRecord {
-    Ballot promised, kept;
+    Ballot promised, accepted;
     std::uint32_t version = 0;
     RecordState state;
-    Time first{};         // when the first attempt was committed, as far as is known here
-    Time last{};          // written or promised
-    bool copied = false;  // by a state transfer
+    TimePoint first_attempt{};  // when the first attempt was recorded, as far as is known here
+    TimePoint last_change{};    // last write or promise
+    bool copied = false;        // received by a state transfer and not accepted since
   };
   const std::map<std::string, StoredRecord>& stored() const { return stored_; }
-  void Put(std::string& into) const;  // see RecordProposer::Put; but for when records end
+  void AppendState(std::string& into) const;  // as RecordProposer::AppendState; leaves out the expiry times
 
  private:
-  Message ReplyWithState(Time now, Kind kind, const Message& asked, const StoredRecord& record) const;
-  static std::size_t Weight(const std::string& operation, const RecordState& state);
-  struct IncomingSync {  // a state transfer under way
+  Message ReplyWithState(TimePoint now, Kind kind, const Message& request, const StoredRecord& record) const;
+  static std::size_t MemorySize(const std::string& operation, const RecordState& state);
+  struct IncomingSync {  // a state transfer in progress
     std::optional<Message> done;
     std::map<std::string, Message> records;
   };
-  bool HasSynced(const std::string& who, const std::string& third) const;
-  Lives LivesOf(const std::string& operation) const;
-  void Merge(Time now, const Message& copy);
+  bool HasSynced(const std::string& sender, const std::string& third) const;
+  Generations GenerationsOf(const std::string& operation) const;
+  void MergeCopy(TimePoint now, const Message& copy);
 
   RecordLimits limits_;
-  Time started_;
+  TimePoint started_;
   std::string self_;
-  std::uint64_t life_ = 0, asked_ = 0;
+  std::uint64_t generation_ = 0, last_sync_request_ = 0;
   ReplicasFor replicas_for_;
-  std::map<std::string, std::uint64_t> noted_;  // lives of those that asked for a state transfer
+  std::map<std::string, std::uint64_t> known_generations_;  // highest, by requester of a state transfer
   std::map<std::string, std::set<std::string>>
-      synced_;  // who, and for the operations of which third replicas
-  std::map<std::string, IncomingSync> incoming_;
+      completed_syncs_;  // by sender of a completed transfer: the third replicas it covers, see
+                         // Message::complete_for
+  std::map<std::string, IncomingSync> incoming_syncs_;
   std::map<std::string, StoredRecord> stored_;
   std::size_t bytes_ = 0;
 };
--- a/src/failover/replica_set.cpp
+++ b/src/failover/replica_set.cpp
@@ -11,17 +11,18 @@
 
 ReplicaSet::ReplicaSet(std::vector<ReplicaName> all) : all_(std::move(all)) {
   std::ranges::sort(all_, {}, &ReplicaName::router);
-  if (all_.size() < kReplicas) throw std::invalid_argument("three replicas or more expected");
+  if (all_.size() < kReplicas) throw std::invalid_argument("at least three replicas expected");
   std::string bytes;
   for (std::size_t i = 0; i < all_.size(); ++i) {
     const std::string& name = all_[i].router;
-    if (name.empty()) throw std::invalid_argument("a replica without a name");
-    if (i > 0 && all_[i - 1].router == name) throw std::invalid_argument("replica " + name + " twice");
+    if (name.empty()) throw std::invalid_argument("a replica has no name");
+    if (i > 0 && all_[i - 1].router == name)
+      throw std::invalid_argument("replica " + name + " is listed twice");
     hashes_.push_back(XXH3_64bits(name.data(), name.size()));
-    Put(bytes, name);
-    Put(bytes, all_[i].zone);
+    AppendState(bytes, name);
+    AppendState(bytes, all_[i].zone);
   }
-  print_ = XXH3_64bits(bytes.data(), bytes.size());
+  fingerprint_ = XXH3_64bits(bytes.data(), bytes.size());
 }
 
 ReplicaName ParseReplica(const std::string& line) {
@@ -36,16 +37,17 @@
 }
 
 std::array<std::size_t, kReplicas> ReplicaSet::ReplicasFor(const std::string& operation) const {
-  std::uint64_t of_operation = XXH3_64bits(operation.data(), operation.size());
+  std::uint64_t operation_hash = XXH3_64bits(operation.data(), operation.size());
   std::vector<std::pair<std::uint64_t, std::size_t>> order;
   for (std::size_t i = 0; i < all_.size(); ++i) {
-    std::uint64_t both[2] = {of_operation, hashes_[i]};
+    std::uint64_t both[2] = {operation_hash, hashes_[i]};
     order.emplace_back(XXH3_64bits(both, sizeof both), i);
   }
   std::ranges::sort(order, std::greater<>());
   std::array<std::size_t, kReplicas> chosen{};
   for (std::size_t n = 0; n < kReplicas; ++n) {
-    // The highest in a zone that has none yet; where all zones have one, the highest of the rest.
+    // Prefers the highest-ranked replica of a zone that has none yet, else the highest-ranked one that is
+    // left.
     auto has = [&](auto same) {
       return std::any_of(chosen.begin(), chosen.begin() + static_cast<long>(n), same);
     };
@@ -62,8 +64,9 @@
 
 std::array<std::string, kReplicas> ReplicaSet::NamesFor(const std::string& operation) const {
   std::array<std::string, kReplicas> names;
-  auto places = ReplicasFor(operation);
-  for (std::size_t replica = 0; replica < kReplicas; ++replica) names[replica] = all_[places[replica]].router;
+  auto indices = ReplicasFor(operation);
+  for (std::size_t replica = 0; replica < kReplicas; ++replica)
+    names[replica] = all_[indices[replica]].router;
   return names;
 }
 
--- a/src/failover/replica_set.h
+++ b/src/failover/replica_set.h
@@ -1,6 +1,6 @@
-// Which three replicas store the record of an operation: the highest by rendezvous hashing, in different
-// zones where there are as many. A function of the settings alone, so that all routers find the same ones
-// whatever they believe of each other.
+// Selects the three replicas that store the record of an operation: by rendezvous hashing, in different zones
+// if there are enough zones. The result depends only on the configuration, so all routers select the same
+// replicas whatever their view of the fleet.
 #pragma once
 
 #include <array>
@@ -17,26 +17,26 @@
   bool operator==(const ReplicaName&) const = default;
 };
 
-// NAME/ZONE, or NAME alone.
+// Parses "NAME/ZONE", or "NAME" with an empty zone.
 ReplicaName ParseReplica(const std::string& line);
 
 class ReplicaSet {
  public:
-  // Of lines as ParseReplica takes them.
+  // Each line as for ParseReplica. Throws as the constructor does.
   static ReplicaSet Parse(const std::vector<std::string>& lines);
-  // Throws std::invalid_argument: three at the least are needed, and no name twice.
+  // Throws std::invalid_argument if there are fewer than three replicas, or a name is empty or repeated.
   explicit ReplicaSet(std::vector<ReplicaName> all);
-  // Indices into all(), in the order in which they are to go on with the operation when its owner has ended.
+  // Returns indices into all(), by descending preference.
   std::array<std::size_t, kReplicas> ReplicasFor(const std::string& operation) const;
   std::array<std::string, kReplicas> NamesFor(const std::string& operation) const;
   const std::vector<ReplicaName>& all() const { return all_; }
-  // Equal for equal settings: who states another is not to be listened to.
-  std::uint64_t print() const { return print_; }
+  // Hash of the configuration. Messages with another fingerprint must be ignored.
+  std::uint64_t fingerprint() const { return fingerprint_; }
 
  private:
-  std::vector<ReplicaName> all_;  // by name
+  std::vector<ReplicaName> all_;  // sorted by name
   std::vector<std::uint64_t> hashes_;
-  std::uint64_t print_ = 0;
+  std::uint64_t fingerprint_ = 0;
 };
 
 }  // namespace peatbend::failover
--- a/src/failover/wire.h
+++ b/src/failover/wire.h
@@ -1,4 +1,4 @@
-// The messages between replicas and owners as bytes: MessagePack, several messages at a time.
+// Encodes messages between replicas and routers as MessagePack, several in a batch.
 #pragma once
 
 #include <string>
@@ -10,15 +10,15 @@
 
 namespace peatbend::failover {
 
-constexpr std::size_t kMaxMessages = 4096, kMostAttempts = 64, kMaxOperationKey = 512, kMaxValue = 256u << 10;
+constexpr std::size_t kMaxMessages = 4096, kMaxAttempts = 64, kMaxOperationKey = 512, kMaxValue = 256u << 10;
 
-// `replica_set`: ReplicaSet::print() of the sender; messages under another one are dropped.
+// `replica_set`: ReplicaSet::fingerprint() of the sender. The receiver drops batches with another one.
 std::string Encode(std::uint64_t replica_set, const std::vector<Message>& messages);
-// About as many bytes as Encode makes of it; never fewer.
-std::size_t SizeOf(const Message& message);
+// An upper bound, close to the actual size, of the bytes that Encode writes for the message.
+std::size_t EncodedSizeBound(const Message& message);
 
 using net::DecodeError;
-// Reads what a stranger may have written. Never throws; `messages` is whole where there is no error.
+// Decodes untrusted input. Never throws. `messages` is valid only if the result is DecodeError::kNone.
 DecodeError Decode(std::string_view bytes, std::uint64_t replica_set, std::vector<Message>& messages);
 
 }  // namespace peatbend::failover
--- a/src/router/publication_office.cpp
+++ b/src/router/publication_office.cpp
@@ -44,7 +44,7 @@
 // Takes the seat, with what its folder remembers, once the folder can be had.
 void PublicationOffice::Open() {
   if (opened_) return;
-  failover::Time now = peers::Peers::Now();
+  failover::TimePoint now = peers::Peers::Now();
   bool seat = std::ranges::any_of(seats_.all(), [this](const auto& one) { return one.router == self_; });
   if (folder_.empty() || !seat) {
     opened_ = true;
@@ -126,12 +126,12 @@
 
 void PublicationOffice::Arrived(const std::string& from, const std::string& bytes) {
   compat::Say say;
-  compat::DecodeError error = compat::Decode(bytes, seats_.print(), say);
+  compat::DecodeError error = compat::Decode(bytes, seats_.fingerprint(), say);
   if (error != compat::DecodeError::kNone) {
     ++dropped_;
     return log_.Line("publications dropped", fmt::format("what {} says {}", from, Text(error)));
   }
-  failover::Time now = peers::Peers::Now();
+  failover::TimePoint now = peers::Peers::Now();
   bool of_book = say.kind == compat::SayKind::kAskBook || say.kind == compat::SayKind::kBook;
   if (!of_book) {
     bureau_.Take(now, from, say);
@@ -150,7 +150,7 @@
 }
 
 void PublicationOffice::Carry(const std::string& to, const compat::Say& say) {
-  std::string bytes = compat::Encode(seats_.print(), say);
+  std::string bytes = compat::Encode(seats_.fingerprint(), say);
   ++sent_;
   bytes_ += bytes.size();
   if (peers_ == nullptr || !peers_->Carry(to, std::move(bytes))) ++unreached_;
@@ -172,7 +172,7 @@
 // Sends what there is, and hands on what is for this router itself. Nothing leaves before it is kept.
 void PublicationOffice::Flush() {
   if (peers_ == nullptr || std::exchange(flushing_, true)) return;
-  failover::Time now = peers::Peers::Now();
+  failover::TimePoint now = peers::Peers::Now();
   for (bool more = true; more;) {
     more = false;
     bool kept = Save();
@@ -202,11 +202,11 @@
   if (bureau_.barred() && !std::exchange(told_barred_, true))
     log_.Line("publications", "not founded again: another seat knows this one from before");
   if (bureau_.votes(now) && !std::exchange(told_votes_, true)) log_.Line("publications", "the seat votes");
-  failover::Time due = bureau_.Due();
+  failover::TimePoint due = bureau_.Due();
   if (librarian_) due = std::min(due, librarian_->Due());
-  failover::Span in = std::max(due - now, failover::Span{});
-  if (peers_->life() == 0) in = std::min<failover::Span>(in, kLifeAgain);
-  if (!opened_) in = std::min<failover::Span>(in, kFolderRetry);
+  failover::Duration in = std::max(due - now, failover::Duration{});
+  if (peers_->life() == 0) in = std::min<failover::Duration>(in, kLifeAgain);
+  if (!opened_) in = std::min<failover::Duration>(in, kFolderRetry);
   tick_.Set(in);
   flushing_ = false;
 }
--- a/src/router/ration_office.cpp
+++ b/src/router/ration_office.cpp
@@ -44,7 +44,7 @@
   }
   std::ranges::sort(addresses);
   std::string all = fmt::format("{}", fmt::join(addresses, " "));
-  return seats.print() ^ (all.empty() ? 0 : XXH3_64bits(all.data(), all.size()));
+  return seats.fingerprint() ^ (all.empty() ? 0 : XXH3_64bits(all.data(), all.size()));
 }
 
 // Two processes of one name may run at once, but not at one address: where the seats' addresses are stated,
--- a/src/router/work_in_hand.cpp
+++ b/src/router/work_in_hand.cpp
@@ -39,12 +39,13 @@
       peers_(peers),
       decision_(decision),
       log_(log),
-      manager_(
-          OptionsOf(config), failover::ReplicaSet::Parse(config.failover.replicas), config.name, peers.life(),
-          peers::Peers::Now(),
-          [this](const failover::Proposer& proposer) { return peers_.Gone(proposer.name, proposer.life); }),
+      manager_(OptionsOf(config), failover::ReplicaSet::Parse(config.failover.replicas), config.name,
+               peers.life(), peers::Peers::Now(),
+               [this](const failover::Proposer& proposer) {
+                 return peers_.Gone(proposer.name, proposer.generation);
+               }),
       tick_(base, [this] {
-        manager_.SetLife(peers_.life());
+        manager_.SetGeneration(peers_.life());
         manager_.Tick(peers::Peers::Now());
         Flush();
       }) {
@@ -81,42 +82,44 @@
 }
 
 void WorkInHand::Opened(RequestId id, const Request& request, Duration left) {
-  failover::Time now = peers::Peers::Now();
-  manager_.SetLife(peers_.life());
-  manager_.Open(now, static_cast<failover::OwnershipManager::Number>(id), NameOf(request),
+  failover::TimePoint now = peers::Peers::Now();
+  manager_.SetGeneration(peers_.life());
+  manager_.Open(now, static_cast<failover::OwnershipManager::RequestNumber>(id), NameOf(request),
                 settings_.classes[static_cast<std::size_t>(request.cls)], now + left);
 }
 
 void WorkInHand::Want(RequestId id, const std::string& member) {
-  manager_.Want(peers::Peers::Now(), static_cast<failover::OwnershipManager::Number>(id), member);
+  manager_.RequestAttempt(peers::Peers::Now(), static_cast<failover::OwnershipManager::RequestNumber>(id),
+                          member);
   Flush();
 }
 
 void WorkInHand::FlowEnded(RequestId id, bool may_have_run) {
-  manager_.Ended(peers::Peers::Now(), static_cast<failover::OwnershipManager::Number>(id), may_have_run);
+  manager_.OnAttemptEnded(peers::Peers::Now(), static_cast<failover::OwnershipManager::RequestNumber>(id),
+                          may_have_run);
   Flush();
 }
 
 void WorkInHand::Finish(RequestId id, OperationOutcome end, std::string value) {
-  manager_.Finish(peers::Peers::Now(), static_cast<failover::OwnershipManager::Number>(id), end,
+  manager_.Finish(peers::Peers::Now(), static_cast<failover::OwnershipManager::RequestNumber>(id), end,
                   std::move(value));
   Flush();
 }
 
 void WorkInHand::Left(RequestId id) {
-  manager_.Left(peers::Peers::Now(), static_cast<failover::OwnershipManager::Number>(id));
+  manager_.OnClientLeft(peers::Peers::Now(), static_cast<failover::OwnershipManager::RequestNumber>(id));
   Flush();
 }
 
 void WorkInHand::Arrived(const std::string& from, const std::string& bytes) {
   std::vector<failover::Message> messages;
-  failover::DecodeError error = failover::Decode(bytes, manager_.replica_set().print(), messages);
+  failover::DecodeError error = failover::Decode(bytes, manager_.replica_set().fingerprint(), messages);
   if (error != failover::DecodeError::kNone) {
     ++dropped_;
     return log_.Line("failover dropped", fmt::format("what {} says {}", from, Text(error)));
   }
-  failover::Time now = peers::Peers::Now();
-  for (const failover::Message& message : messages) manager_.Take(now, from, message);
+  failover::TimePoint now = peers::Peers::Now();
+  for (const failover::Message& message : messages) manager_.Handle(now, from, message);
   Flush();
 }
 
@@ -127,7 +130,7 @@
   };
   std::map<std::string, Parcel> parcels;
   auto send = [this](const std::string& to, Parcel& parcel) {
-    std::string bytes = failover::Encode(manager_.replica_set().print(), parcel.messages);
+    std::string bytes = failover::Encode(manager_.replica_set().fingerprint(), parcel.messages);
     parcel = {};
     ++sent_;
     bytes_ += bytes.size();
@@ -135,7 +138,7 @@
   };
   for (failover::OwnershipManager::Outgoing& out : manager_.DrainOutgoing()) {
     Parcel& parcel = parcels[out.router];
-    std::size_t more = failover::SizeOf(out.message);
+    std::size_t more = failover::EncodedSizeBound(out.message);
     std::size_t most = out.message.kind == failover::Kind::kSyncRecord ? kMostSyncBytes : peers::kMostBatch;
     bool full = parcel.size + more > most || parcel.messages.size() >= failover::kMaxMessages;
     if (full && !parcel.messages.empty()) send(out.router, parcel);
@@ -154,7 +157,7 @@
     decision_.Close(id, result.outcome, std::move(result.value),
                     result.no_quorum ? kAloneComeBack : Duration{});
   }
-  if (auto due = manager_.Due()) tick_.Set(std::max(*due - peers::Peers::Now(), failover::Span{}));
+  if (auto due = manager_.Due()) tick_.Set(std::max(*due - peers::Peers::Now(), failover::Duration{}));
 }
 
 std::vector<std::pair<std::string, std::uint64_t>> WorkInHand::Figures() const {
--- a/tests/compat/bureau_test.cpp
+++ b/tests/compat/bureau_test.cpp
@@ -55,8 +55,8 @@
     }
   }
   template <typename F>
-  bool Until(F holds, Span within) {
-    for (Time until = now + within; !holds();) {
+  bool Until(F holds, Duration within) {
+    for (TimePoint until = now + within; !holds();) {
       if (now > until) return false;
       Step();
     }
@@ -78,7 +78,7 @@
     Say say;
   };
   failover::ReplicaSet seats;
-  Time now = 1h;
+  TimePoint now = 1h;
   std::uint64_t life = 0;
   unsigned loss = 0;
   std::mt19937_64 random{1};
--- a/tests/compat/register_test.cpp
+++ b/tests/compat/register_test.cpp
@@ -28,7 +28,7 @@
       for (std::size_t i = 0; i < out.size(); ++i) {
         if (!reached[out[i].replica]) continue;
         auto asked = out[i];
-        auto verdict = change.Take({}, asked.replica, seats[asked.replica].Take({}, asked.message), out);
+        auto verdict = change.Take({}, asked.replica, seats[asked.replica].Handle({}, asked.message), out);
         if (verdict != Change::Verdict::kNothing) last = verdict;
       }
     }
@@ -69,7 +69,7 @@
   for (std::size_t s : {1, 2})
     for (const auto& word : fleet.seats[s].AnswerSync({}, ask))
       fleet.seats[0].HandleSync({}, "s" + std::to_string(s), word);
-  for (auto& seat : fleet.seats) seat.Forget(std::chrono::hours(24 * 365));
+  for (auto& seat : fleet.seats) seat.DropExpired(std::chrono::hours(24 * 365));
   Change third = fleet.By("c", First(R"("long")"));
   CHECK(fleet.Bring(third, {true, false, true}) == Change::Verdict::kTell);
   CHECK_FALSE(third.answer().yes());
@@ -83,7 +83,7 @@
   later.ballot = {1, {"later", 1, 1}};
   later.version = 1;
   later.state.value = "\x92\x02\x90";
-  for (auto& seat : fleet.seats) seat.Take({}, later);
+  for (auto& seat : fleet.seats) seat.Handle({}, later);
   Change one = fleet.By("z", Found);
   CHECK(fleet.Bring(one, {true, true, true}) == Change::Verdict::kTell);
   CHECK(one.answer().objections.at(0).rule == "form");
--- a/tests/fuzz/rations_fuzz.cpp
+++ b/tests/fuzz/rations_fuzz.cpp
@@ -57,7 +57,7 @@
                                                unsigned seed) {
   static const failover::ReplicaSet seats(kSeatNames);
   if (seed % 4 == 0) {
-    std::string sample = Sample(seed / 8, seats.print());
+    std::string sample = Sample(seed / 8, seats.fingerprint());
     size = std::min(sample.size(), most);
     std::copy_n(sample.begin(), size, data);
     if (seed % 8 == 0) return size;
@@ -70,10 +70,10 @@
   static const auto table = TheTable();
   std::string_view bytes(reinterpret_cast<const char*>(data), size);
   std::vector<Message> messages, again;
-  if (Decode(bytes, seats.print(), messages) != DecodeError::kNone)
+  if (Decode(bytes, seats.fingerprint(), messages) != DecodeError::kNone)
     return messages.empty() ? 0 : (std::abort(), 0);
   // What was read is read alike once it is written anew.
-  if (Decode(Encode(seats.print(), messages), seats.print(), again) != DecodeError::kNone ||
+  if (Decode(Encode(seats.fingerprint(), messages), seats.fingerprint(), again) != DecodeError::kNone ||
       again != messages)
     std::abort();
   Time now = 10s;
@@ -98,7 +98,7 @@
   Bucket root = table->ChainOf({}).root();
   if (office.purse().owed(root) > AheadOf(table->rations[0].pace)) std::abort();
   for (const Out& out : said) {
-    if (Decode(Encode(seats.print(), {out.message}), seats.print(), again) != DecodeError::kNone)
+    if (Decode(Encode(seats.fingerprint(), {out.message}), seats.fingerprint(), again) != DecodeError::kNone)
       std::abort();
   }
   return 0;
--- a/tests/orders/compat_town.cpp
+++ b/tests/orders/compat_town.cpp
@@ -37,7 +37,7 @@
   founding.state.value = first.Bytes();
   for (std::size_t s = 0; s < failover::kReplicas; ++s) {
     Seat seat{Fresh(s, 1, true), 1, 0};
-    seat.holder.Take({}, founding);
+    seat.holder.Handle({}, founding);
     seats_[s] = Of(std::move(seat));
   }
   for (Role role : world->setup.roles) {
@@ -88,19 +88,19 @@
 
 CompatTown::SeatPtr CompatTown::Of(Seat seat) {
   std::string bytes;
-  seat.holder.Put(bytes);
+  seat.holder.AppendState(bytes);
   seat.print = Hash(bytes);
   return std::make_shared<const Seat>(std::move(seat));
 }
 
 CompatTown::ActorPtr CompatTown::Of(Actor actor) {
   std::string bytes{static_cast<char>(actor.tries)};
-  actor.change.record().Put(bytes);
+  actor.change.record().AppendState(bytes);
   for (const auto& each : actor.change.answer().objections) bytes += each.Text();
   actor.print = Hash(bytes);
   for (std::size_t s = 0; s < failover::kReplicas; ++s) {
     bytes.clear();
-    actor.change.record().Put(s, bytes);
+    actor.change.record().AppendState(s, bytes);
     actor.of_seat[s] = Hash(bytes);
   }
   return std::make_shared<const Actor>(std::move(actor));
@@ -108,13 +108,13 @@
 
 CompatTown::ParcelPtr CompatTown::ParcelOf(bool to_seat, std::size_t a, std::size_t s, Message message) {
   std::string bytes{to_seat ? 't' : 'o', static_cast<char>(a)};
-  failover::Put(bytes, message);
+  failover::AppendState(bytes, message);
   return std::make_shared<const Parcel>(Parcel{to_seat, a, s, std::move(message), Hash(bytes)});
 }
 
 CompatTown::WordPtr CompatTown::WordOf(std::size_t from, std::size_t to, std::vector<Message> messages) {
   std::string bytes{'w', static_cast<char>(from), static_cast<char>(to)};
-  for (const Message& message : messages) failover::Put(bytes, message);
+  for (const Message& message : messages) failover::AppendState(bytes, message);
   return std::make_shared<const Word>(Word{from, to, std::move(messages), Hash(bytes)});
 }
 
@@ -221,12 +221,12 @@
   for (const ParcelPtr& post : did->posts) Insert(post);
   // What it would pass over, now and ever, need not be delivered.
   std::erase_if(bag_, [&](const auto& one) {
-    return one->actor == a && !one->to_seat && !actors_[a]->change.record().Waits(one->seat, one->message);
+    return one->actor == a && !one->to_seat && !actors_[a]->change.record().Expects(one->seat, one->message);
   });
 }
 
 void CompatTown::Insert(const ParcelPtr& parcel) {
-  if (!parcel->to_seat && !actors_[parcel->actor]->change.record().Waits(parcel->seat, parcel->message))
+  if (!parcel->to_seat && !actors_[parcel->actor]->change.record().Expects(parcel->seat, parcel->message))
     return;
   auto before = [](const auto& one, const auto& other) {
     return std::tie(one->print, one->seat) < std::tie(other->print, other->seat);
@@ -238,7 +238,7 @@
 
 CompatTown::Answered CompatTown::AnsweredOf(const Parcel& parcel) const {
   Seat seat = *seats_[parcel.seat];
-  Message answer = seat.holder.Take({}, parcel.message);
+  Message answer = seat.holder.Handle({}, parcel.message);
   return {Of(std::move(seat)), ParcelOf(false, parcel.actor, parcel.seat, std::move(answer)), nullptr};
 }
 
@@ -335,7 +335,7 @@
   std::size_t has = 0;
   for (std::size_t other = 0; other < failover::kReplicas; ++other) {
     const auto* at = slot(other);
-    has += at != nullptr && at->kept == own->kept && at->version == own->version && !at->copied;
+    has += at != nullptr && at->accepted == own->accepted && at->version == own->version && !at->copied;
   }
   if (has < failover::kMajority) return;
   const Stood& stood = StoodOf(own->state.value);
--- a/tests/orders/failover_model.cpp
+++ b/tests/orders/failover_model.cpp
@@ -1,5 +1,4 @@
-// The model of an operation's replicas and routers: what may happen next, what is in flight, and what
-// replicas do with it.
+// The possible events of the model, the messages in flight, and the replicas.
 #include "orders/failover_model.h"
 
 #include <algorithm>
@@ -7,61 +6,65 @@
 namespace peatbend::orders {
 
 FailoverModel::FailoverModel(FailoverModelSetup setup)
-    : setup_(setup), reader_("w", {"reader", 7, 1}), budget_{setup.restarts, setup.syncs,  setup.deaths,
-                                                             setup.twice,    setup.passes, setup.looks} {
+    : setup_(setup), reader_("w", {"reader", 7, 1}), budget_{setup.restarts,   setup.syncs,
+                                                             setup.deaths,     setup.duplicates,
+                                                             setup.time_steps, setup.reads} {
   cls_.effect = setup.effect;
   cls_.window = kWindow;
   for (std::size_t s = 0; s < failover::kReplicas; ++s) {
-    replicas_.push_back(Of(Replica{Fresh(s, 1, -kOld), 1, 0}));
+    replicas_.push_back(WithFingerprint(Replica{MakeReplica(s, 1, -kLongAgo), 1, 0}));
   }
   for (int r = 0; r < setup.routers; ++r) {
-    Router router{OperationOwnership("w", {"r" + std::to_string(r), 7, 1},
-                                     setup.mutant == Mutant::kOldPermission ? failover::Span(1h) : kWithin),
-                  true,
-                  r > 0 || setup.back ? setup.tries : 0,
-                  false,
-                  false,
-                  0};
-    routers_.push_back(Of(std::move(router)));
+    Router router{
+        OperationOwnership("w", {"r" + std::to_string(r), 7, 1},
+                           setup.mutant == Mutant::kExpiredPermit ? failover::Duration(1h) : kSendPermit),
+        true,
+        r > 0 || setup.owner_returns ? setup.take_overs : 0,
+        false,
+        false,
+        0};
+    routers_.push_back(WithFingerprint(std::move(router)));
   }
-  Change(0, [this](Router& router, Outs& out) { Want(0, router, out); });
+  Change(0, [this](Router& router, Outs& out) { RequestAttempt(0, router, out); });
 }
 
 std::vector<FailoverModel::Event> FailoverModel::Events() const {
   std::vector<Event> events;
-  auto may = [&](std::string name, auto what, std::shared_ptr<const Parcel> parcel = {}) {
-    events.push_back({std::move(name), std::move(parcel), what});
+  auto may = [&](std::string name, auto what, std::shared_ptr<const InFlightMessage> in_flight = {}) {
+    events.push_back({std::move(name), std::move(in_flight), what});
   };
-  for (std::size_t i = 0; i < bag_.size(); ++i) {
-    if (i > 0 && bag_[i]->Same(*bag_[i - 1])) continue;
+  for (std::size_t i = 0; i < in_flight_.size(); ++i) {
+    if (i > 0 && in_flight_[i]->Same(*in_flight_[i - 1])) continue;
     may(
-        "", [i](FailoverModel& t) { t.Deliver(i, false); }, bag_[i]);
-    if (budget_.twice > 0)
+        "", [i](FailoverModel& t) { t.Deliver(i, false); }, in_flight_[i]);
+    if (budget_.duplicates > 0)
       may(
-          "keeps ", [i](FailoverModel& t) { t.Deliver(i, true); }, bag_[i]);
+          "delivers and keeps ", [i](FailoverModel& t) { t.Deliver(i, true); }, in_flight_[i]);
   }
   for (std::size_t r = 0; r < routers_.size(); ++r) {
     const Router& router = *routers_[r];
     if (!router.alive) continue;
     std::string name = "r" + std::to_string(r);
-    if (router.out) {
-      may(name + ": a value", [r](FailoverModel& t) { t.Settle(r, true, true); });
-      may(name + ": silence", [r](FailoverModel& t) { t.Settle(r, false, true); });
-      if (setup_.lost_dials) may(name + ": never ran", [r](FailoverModel& t) { t.Settle(r, false, false); });
+    if (router.in_progress) {
+      may(name + ": a value", [r](FailoverModel& t) { t.EndAttempt(r, true, true); });
+      may(name + ": no reply", [r](FailoverModel& t) { t.EndAttempt(r, false, true); });
+      if (setup_.lost_dials)
+        may(name + ": never ran", [r](FailoverModel& t) { t.EndAttempt(r, false, false); });
     }
     auto phase = router.ownership.record().phase();
-    if (router.tries > 0 &&
+    if (router.take_overs > 0 &&
         (phase == RecordProposer::Phase::kLost || (phase == RecordProposer::Phase::kIdle && r > 0))) {
-      may(name + " tries", [r](FailoverModel& t) {
+      may(name + " takes over", [r](FailoverModel& t) {
         t.Change(r, [&](Router& one, Outs& out) {
-          --one.tries;
+          --one.take_overs;
           t.TakeOver(r, one, out);
         });
       });
     }
-    if (setup_.second_asker && r == 1 && phase == RecordProposer::Phase::kIdle)
-      may(name + " is asked",
-          [r](FailoverModel& t) { t.Change(r, [&](Router& one, Outs& out) { t.Want(r, one, out); }); });
+    if (setup_.second_client && r == 1 && phase == RecordProposer::Phase::kIdle)
+      may(name + " receives the request", [r](FailoverModel& t) {
+        t.Change(r, [&](Router& one, Outs& out) { t.RequestAttempt(r, one, out); });
+      });
     if (budget_.deaths > 0)
       may(name + " dies", [r](FailoverModel& t) {
         --t.budget_.deaths;
@@ -71,13 +74,13 @@
   for (std::size_t s = 0; budget_.restarts > 0 && s < replicas_.size(); ++s) {
     may("replica " + std::to_string(s) + " restarts", [s](FailoverModel& t) {
       --t.budget_.restarts;
-      failover::Time started = t.setup_.mutant == Mutant::kForgotten ? -kOld : t.now_;
-      std::uint64_t life = t.replicas_[s]->life + 1;
-      t.replicas_[s] = Of(Replica{t.Fresh(s, life, started), life, 0});
+      failover::TimePoint started = t.setup_.mutant == Mutant::kEarlyVote ? -kLongAgo : t.now_;
+      std::uint64_t generation = t.replicas_[s]->generation + 1;
+      t.replicas_[s] = WithFingerprint(Replica{t.MakeReplica(s, generation, started), generation, 0});
     });
   }
   for (std::size_t s = 0; budget_.syncs > 0 && s < replicas_.size(); ++s) {
-    if (replicas_[s]->life == 1) continue;
+    if (replicas_[s]->generation == 1) continue;
     may("replica " + std::to_string(s) + " asks for state", [s](FailoverModel& t) { t.RequestSyncs(s); });
   }
   for (std::size_t i = 0; i < syncs_.size(); ++i) {
@@ -86,62 +89,62 @@
             failover::Text(sync.messages.front()),
         [i](FailoverModel& t) { t.DeliverSync(i); });
   }
-  if (budget_.looks > 0)
-    may("one looks", [](FailoverModel& t) {
-      --t.budget_.looks;
+  if (budget_.reads > 0)
+    may("read", [](FailoverModel& t) {
+      --t.budget_.reads;
       t.seen_.fill(0);
       Outs out;
-      t.reader_.Ask(out);
+      t.reader_.StartRead(out);
       for (RecordProposer::Outgoing& one : out)
         t.Post(true, t.routers_.size(), one.replica, std::move(one.message));
     });
-  if (budget_.passes > 0)
+  if (budget_.time_steps > 0)
     may("time passes", [](FailoverModel& t) {
-      --t.budget_.passes;
-      t.now_ += kPass;
+      --t.budget_.time_steps;
+      t.now_ += kTimeStep;
     });
   return events;
 }
 
-std::uint64_t FailoverModel::Print() const {
+std::uint64_t FailoverModel::Fingerprint() const {
   std::array<std::vector<std::uint64_t>, failover::kReplicas> of;
   for (std::size_t s = 0; s < of.size(); ++s) {
-    of[s].push_back(replicas_[s]->print);
-    for (const auto& router : routers_) of[s].push_back(router->of_replica[s]);
+    of[s].push_back(replicas_[s]->fingerprint);
+    for (const auto& router : routers_) of[s].push_back(router->replica_fingerprints[s]);
     of[s].push_back(seen_[s]);
   }
-  for (const auto& parcel : bag_) of[parcel->replica].push_back(parcel->print);
-  std::uint64_t syncs = 0;  // in whatever order
-  for (const auto& sync : syncs_) syncs += sync->print;
-  std::array<std::uint64_t, failover::kReplicas> prints;
+  for (const auto& in_flight : in_flight_) of[in_flight->replica].push_back(in_flight->fingerprint);
+  std::uint64_t syncs = 0;  // independent of their order
+  for (const auto& sync : syncs_) syncs += sync->fingerprint;
+  std::array<std::uint64_t, failover::kReplicas> fingerprints;
   for (std::size_t s = 0; s < of.size(); ++s)
-    prints[s] = XXH3_64bits(of[s].data(), of[s].size() * sizeof of[s][0]);
-  std::ranges::sort(prints);
-  std::vector<std::uint64_t> all(prints.begin(), prints.end());
+    fingerprints[s] = XXH3_64bits(of[s].data(), of[s].size() * sizeof of[s][0]);
+  std::ranges::sort(fingerprints);
+  std::vector<std::uint64_t> all(fingerprints.begin(), fingerprints.end());
   auto add = [&](auto value) { all.push_back(static_cast<std::uint64_t>(value)); };
-  for (const auto& router : routers_) add(router->print);
-  for (int each :
-       {budget_.restarts, budget_.syncs, budget_.deaths, budget_.twice, budget_.passes, budget_.looks})
+  for (const auto& router : routers_) add(router->fingerprint);
+  for (int each : {budget_.restarts, budget_.syncs, budget_.deaths, budget_.duplicates, budget_.time_steps,
+                   budget_.reads})
     add(each);
   add(syncs);
   add(now_.count());
-  for (const Sent& sent : sent_) add(sent.at.count()), add(sent.by), add(sent.ran);
-  add(told_at_.count());
-  add(Hash(told_));
+  for (const SentAttempt& sent : sent_) add(sent.at.count()), add(sent.by), add(sent.ran);
+  add(outcome_at_.count());
+  add(Hash(outcome_));
   return XXH3_64bits(all.data(), all.size() * sizeof all[0]);
 }
 
-failover::RecordReplica FailoverModel::Fresh(std::size_t s, std::uint64_t life,
-                                             failover::Time started) const {
+failover::RecordReplica FailoverModel::MakeReplica(std::size_t s, std::uint64_t generation,
+                                                   failover::TimePoint started) const {
   if (setup_.syncs == 0) return failover::RecordReplica({}, started);
-  return failover::RecordReplica({}, started, NameOf(s), life, [](const std::string&) {
+  return failover::RecordReplica({}, started, NameOf(s), generation, [](const std::string&) {
     return std::array<std::string, failover::kReplicas>{NameOf(0), NameOf(1), NameOf(2)};
   });
 }
 
-void FailoverModel::Carry(std::size_t from, std::size_t to, std::vector<Message> messages) {
+void FailoverModel::SendSync(std::size_t from, std::size_t to, std::vector<Message> messages) {
   std::string bytes{'w', static_cast<char>(from), static_cast<char>(to)};
-  for (const Message& message : messages) failover::Put(bytes, message);
+  for (const Message& message : messages) failover::AppendState(bytes, message);
   syncs_.push_back(
       std::make_shared<const SyncMessages>(SyncMessages{from, to, std::move(messages), Hash(bytes)}));
 }
@@ -150,9 +153,9 @@
   --budget_.syncs;
   Replica replica = *replicas_[s];
   Message ask = replica.acceptor.RequestSync();
-  replicas_[s] = Of(std::move(replica));
+  replicas_[s] = WithFingerprint(std::move(replica));
   for (std::size_t other = 0; other < failover::kReplicas; ++other)
-    if (other != s) Carry(s, other, {ask});
+    if (other != s) SendSync(s, other, {ask});
 }
 
 void FailoverModel::DeliverSync(std::size_t i) {
@@ -165,96 +168,98 @@
       answer.resize(1);
       answer[0].version = 0;
     }
-    Carry(sync->to, sync->from, std::move(answer));
+    SendSync(sync->to, sync->from, std::move(answer));
   } else {
     for (const Message& message : sync->messages)
       replica.acceptor.HandleSync(now_, NameOf(sync->from), message);
-    if (setup_.mutant == Mutant::kOneSync) {
+    if (setup_.mutant == Mutant::kSingleSync) {
       for (const Message& message : sync->messages)
         replica.acceptor.HandleSync(now_, NameOf(3 - sync->from - sync->to), message);
     }
   }
-  replicas_[sync->to] = Of(std::move(replica));
+  replicas_[sync->to] = WithFingerprint(std::move(replica));
 }
 
-std::shared_ptr<const FailoverModel::Replica> FailoverModel::Of(Replica replica) {
+std::shared_ptr<const FailoverModel::Replica> FailoverModel::WithFingerprint(Replica replica) {
   std::string bytes;
-  replica.acceptor.Put(bytes);
-  replica.print = Hash(bytes);
+  replica.acceptor.AppendState(bytes);
+  replica.fingerprint = Hash(bytes);
   return std::make_shared<const Replica>(std::move(replica));
 }
 
-std::shared_ptr<const FailoverModel::Router> FailoverModel::Of(Router router) {
-  std::string bytes{router.alive, static_cast<char>(router.tries), router.out, router.again};
-  router.ownership.Put(bytes);
-  router.print = Hash(bytes);
+std::shared_ptr<const FailoverModel::Router> FailoverModel::WithFingerprint(Router router) {
+  std::string bytes{router.alive, static_cast<char>(router.take_overs), router.in_progress, router.retried};
+  router.ownership.AppendState(bytes);
+  router.fingerprint = Hash(bytes);
   for (std::size_t s = 0; s < failover::kReplicas; ++s) {
     bytes.clear();
-    router.ownership.record().Put(s, bytes);
-    router.of_replica[s] = Hash(bytes);
+    router.ownership.record().AppendState(s, bytes);
+    router.replica_fingerprints[s] = Hash(bytes);
   }
   return std::make_shared<const Router>(std::move(router));
 }
 
-bool FailoverModel::Idle(const Parcel& parcel) const {
-  if (parcel.message.kind == failover::Kind::kRead) return false;
+bool FailoverModel::HasNoEffect(const InFlightMessage& in_flight) const {
+  if (in_flight.message.kind == failover::Kind::kRead) return false;
   if (setup_.syncs > 0 && budget_.restarts > 0)
-    return false;  // what it refuses now it may take once it restarts
-  const auto& stored = replicas_[parcel.replica]->acceptor.stored();
+    return false;  // a replica may accept after a restart what it rejects now
+  const auto& stored = replicas_[in_flight.replica]->acceptor.stored();
   if (stored.empty()) return false;
   const auto& record = stored.begin()->second;
-  bool stands = parcel.message.kind == failover::Kind::kAccept && record.kept == parcel.message.ballot &&
-                record.version >= parcel.message.version && setup_.twice == 0;
+  bool stands = in_flight.message.kind == failover::Kind::kAccept &&
+                record.accepted == in_flight.message.ballot && record.version >= in_flight.message.version &&
+                setup_.duplicates == 0;
   if (stands) return true;
-  bool refused = record.promised > parcel.message.ballot ||
-                 (parcel.message.ballot.round == 0 && record.promised != parcel.message.ballot);
-  Message answer = parcel.message;
+  bool refused = record.promised > in_flight.message.ballot ||
+                 (in_flight.message.ballot.round == 0 && record.promised != in_flight.message.ballot);
+  Message answer = in_flight.message;
   answer.kind = failover::Kind::kNack;
-  return refused && !(routers_[parcel.router]->alive &&
-                      routers_[parcel.router]->ownership.record().Waits(parcel.replica, answer));
+  return refused && !(routers_[in_flight.router]->alive &&
+                      routers_[in_flight.router]->ownership.record().Expects(in_flight.replica, answer));
 }
 
-bool FailoverModel::Waits(std::size_t r, const Parcel& parcel) const {
-  if (r == routers_.size()) return reader_.Waits(parcel.replica, parcel.message);
-  return routers_[r]->alive && routers_[r]->ownership.record().Waits(parcel.replica, parcel.message);
+bool FailoverModel::Expects(std::size_t r, const InFlightMessage& in_flight) const {
+  if (r == routers_.size()) return reader_.Expects(in_flight.replica, in_flight.message);
+  return routers_[r]->alive && routers_[r]->ownership.record().Expects(in_flight.replica, in_flight.message);
 }
 
 void FailoverModel::Post(bool to_replica, std::size_t r, std::size_t s, Message message) {
-  if (setup_.mutant == Mutant::kFormerLives) message.lives = {};
+  if (setup_.mutant == Mutant::kFormerGenerations) message.generations = {};
   std::string bytes{to_replica ? 't' : 'o', static_cast<char>(r)};
-  failover::Put(bytes, message);
-  auto parcel = std::make_shared<const Parcel>(Parcel{to_replica, r, s, std::move(message), Hash(bytes)});
-  if (!to_replica && !Waits(r, *parcel)) return;
+  failover::AppendState(bytes, message);
+  auto in_flight = std::make_shared<const InFlightMessage>(
+      InFlightMessage{to_replica, r, s, std::move(message), Hash(bytes)});
+  if (!to_replica && !Expects(r, *in_flight)) return;
   auto before = [](const auto& one, const auto& other) {
-    return std::tie(one->print, one->replica) < std::tie(other->print, other->replica);
+    return std::tie(one->fingerprint, one->replica) < std::tie(other->fingerprint, other->replica);
   };
-  bag_.insert(std::upper_bound(bag_.begin(), bag_.end(), parcel, before), parcel);
+  in_flight_.insert(std::upper_bound(in_flight_.begin(), in_flight_.end(), in_flight, before), in_flight);
 }
 
 void FailoverModel::Deliver(std::size_t i, bool keep) {
-  auto parcel = bag_[i];
-  if (keep) --budget_.twice;
-  if (!keep) bag_.erase(bag_.begin() + static_cast<std::ptrdiff_t>(i));
-  if (parcel->to_replica) {
-    Replica replica = *replicas_[parcel->replica];
-    Post(false, parcel->router, parcel->replica, replica.acceptor.Take(now_, parcel->message));
-    replicas_[parcel->replica] = Of(std::move(replica));
-    std::erase_if(bag_, [&](const auto& one) {
-      return one->to_replica && one->replica == parcel->replica && Idle(*one);
+  auto in_flight = in_flight_[i];
+  if (keep) --budget_.duplicates;
+  if (!keep) in_flight_.erase(in_flight_.begin() + static_cast<std::ptrdiff_t>(i));
+  if (in_flight->to_replica) {
+    Replica replica = *replicas_[in_flight->replica];
+    Post(false, in_flight->router, in_flight->replica, replica.acceptor.Handle(now_, in_flight->message));
+    replicas_[in_flight->replica] = WithFingerprint(std::move(replica));
+    std::erase_if(in_flight_, [&](const auto& one) {
+      return one->to_replica && one->replica == in_flight->replica && HasNoEffect(*one);
     });
-    return Committed(parcel->message);
+    return CheckRejection(in_flight->message);
   }
-  if (parcel->router == routers_.size()) {
-    seen_[parcel->replica] = parcel->print;
-    reader_.Take(parcel->replica, parcel->message);
-    if (const failover::RecordState* outcome = reader_.Outcome()) Tell(outcome->outcome, outcome->value);
+  if (in_flight->router == routers_.size()) {
+    seen_[in_flight->replica] = in_flight->fingerprint;
+    reader_.Handle(in_flight->replica, in_flight->message);
+    if (const failover::RecordState* outcome = reader_.Outcome()) OnOutcome(outcome->outcome, outcome->value);
     return;
   }
-  if (!routers_[parcel->router]->alive) return;
-  Change(parcel->router, [&](Router& router, Outs& out) {
-    Take(parcel->router, router, parcel->replica, parcel->message, out);
+  if (!routers_[in_flight->router]->alive) return;
+  Change(in_flight->router, [&](Router& router, Outs& out) {
+    HandleReply(in_flight->router, router, in_flight->replica, in_flight->message, out);
     if (setup_.mutant == Mutant::kOneReplica)
-      Take(parcel->router, router, (parcel->replica + 1) % 3, parcel->message, out);
+      HandleReply(in_flight->router, router, (in_flight->replica + 1) % 3, in_flight->message, out);
   });
 }
 
--- a/tests/orders/failover_model_router.cpp
+++ b/tests/orders/failover_model_router.cpp
@@ -1,4 +1,4 @@
-// The town's routers: what each decides on what it is told, and the rules, checked as things happen.
+// The decisions of the model's routers, and the rules that are checked at each event.
 #include <algorithm>
 
 #include "lab/rules.h"
@@ -6,38 +6,38 @@
 
 namespace peatbend::orders {
 
-void FailoverModel::Committed(const Message& message) {
+void FailoverModel::CheckRejection(const Message& message) {
   if (message.kind != failover::Kind::kAccept || message.state.outcome != OperationOutcome::kRejected) return;
   auto has = std::ranges::count_if(replicas_, [&](const auto& replica) {
     const auto& stored = replica->acceptor.stored();
-    return !stored.empty() && stored.begin()->second.kept == message.ballot &&
+    return !stored.empty() && stored.begin()->second.accepted == message.ballot &&
            stored.begin()->second.version == message.version;
   });
-  bool ran = std::ranges::any_of(sent_, [](const Sent& sent) { return sent.ran != 0; });
-  if (has == failover::kMajority && ran) Broken("rejected what may have run");
+  bool ran = std::ranges::any_of(sent_, [](const SentAttempt& sent) { return sent.ran != 0; });
+  if (has == failover::kMajority && ran) ReportViolation("rejected although an attempt may have run");
 }
 
-void FailoverModel::Take(std::size_t r, Router& router, std::size_t replica, const Message& message,
-                         Outs& out) {
-  switch (router.ownership.Take(now_, replica, message, out)) {
+void FailoverModel::HandleReply(std::size_t r, Router& router, std::size_t replica, const Message& message,
+                                Outs& out) {
+  switch (router.ownership.Handle(now_, replica, message, out)) {
     case OwnershipResult::kSend:
-      if (setup_.mutant != Mutant::kSendsFirst) Send(r, router);
+      if (setup_.mutant != Mutant::kSendsEarly) Send(r, router);
       break;
     case OwnershipResult::kAnswer:
-      Tell(router.ownership.state().outcome, router.ownership.state().value);
+      OnOutcome(router.ownership.state().outcome, router.ownership.state().value);
       break;
     case OwnershipResult::kRead:
     case OwnershipResult::kExpired:
-      GoOn(r, router, out);
+      ContinueOperation(r, router, out);
       break;
     default:
       break;
   }
 }
 
-void FailoverModel::Want(std::size_t r, Router& router, Outs& out) {
-  router.ownership.Want(now_, "m" + std::to_string(r), out);
-  if (setup_.mutant == Mutant::kSendsFirst) Send(r, router);
+void FailoverModel::RequestAttempt(std::size_t r, Router& router, Outs& out) {
+  router.ownership.RequestAttempt(now_, "m" + std::to_string(r), out);
+  if (setup_.mutant == Mutant::kSendsEarly) Send(r, router);
 }
 
 void FailoverModel::TakeOver(std::size_t r, Router& router, Outs& out) {
@@ -47,85 +47,88 @@
     Message promise = out[replica].message;
     promise.kind = failover::Kind::kPromise;
     Outs more;
-    Take(r, router, replica, promise, more);
+    HandleReply(r, router, replica, promise, more);
     out.insert(out.end(), more.begin(), more.end());
   }
 }
 
-void FailoverModel::GoOn(std::size_t r, Router& router, Outs& out) {
-  failover::Span age =
-      setup_.mutant == Mutant::kWindowAnew ? failover::Span{} : router.ownership.record().age(now_);
-  failover::RecordState state = router.ownership.Known();
-  if (setup_.mutant == Mutant::kOneWriter && !state.attempts.empty())
+void FailoverModel::ContinueOperation(std::size_t r, Router& router, Outs& out) {
+  failover::Duration age =
+      setup_.mutant == Mutant::kWindowRestarted ? failover::Duration{} : router.ownership.record().age(now_);
+  failover::RecordState state = router.ownership.KnownState();
+  if (setup_.mutant == Mutant::kOneConcurrentWrite && !state.attempts.empty())
     state.attempts.erase(state.attempts.begin(), state.attempts.end() - 1);
   if (state.outcome == OperationOutcome::kRejected &&
-      !(setup_.second_asker && r == 1))  // nobody here has asked anew
+      !(setup_.second_client && r == 1))  // no new request has arrived at this router
     return router.ownership.Finish(now_, OperationOutcome::kRejected, "", out);
-  switch (NextAction(state, cls_, age, kWithin)) {
+  switch (NextAction(state, cls_, age, kSendPermit)) {
     case failover::RecoveryAction::kFail:
       return router.ownership.Finish(now_, OperationOutcome::kFailed, "", out);
     case failover::RecoveryAction::kAnswer:
       return router.ownership.Finish(now_, OperationOutcome::kNone, "", out);
     default:
-      return Want(r, router, out);
+      return RequestAttempt(r, router, out);
   }
 }
 
-void FailoverModel::Settle(std::size_t r, bool value, bool ran) {
+void FailoverModel::EndAttempt(std::size_t r, bool value, bool ran) {
   Change(r, [&](Router& router, Outs& out) {
-    router.out = false;
-    Sent& sent = *std::find_if(sent_.rbegin(), sent_.rend(),
-                               [&](const Sent& s) { return s.by == static_cast<int>(r); });
+    router.in_progress = false;
+    SentAttempt& sent = *std::find_if(sent_.rbegin(), sent_.rend(),
+                                      [&](const SentAttempt& s) { return s.by == static_cast<int>(r); });
     std::string text = "v" + std::to_string(&sent - sent_.data());
     if (!ran) {
       sent.ran = 0;
-      router.ownership.NeverRan();
+      router.ownership.OnNeverRan();
     }
     if (value) {
-      if (setup_.mutant == Mutant::kTellsFirst) Tell(OperationOutcome::kValue, text);
+      if (setup_.mutant == Mutant::kAnswersEarly) OnOutcome(OperationOutcome::kValue, text);
       return router.ownership.Finish(now_, OperationOutcome::kValue, text, out);
     }
     auto known = router.ownership.record();
-    failover::Span age = setup_.mutant == Mutant::kWindowAnew ? failover::Span{} : known.age(now_);
-    bool nothing_ran =
-        !ran && NextAction(router.ownership.Known(), cls_, age, kWithin) == failover::RecoveryAction::kSend;
-    bool repeat = nothing_ran || (cls_.effect == Effect::kKeyed && age + kWithin < cls_.window);
-    if (repeat && !std::exchange(router.again, true) && known.phase() != RecordProposer::Phase::kLost)
-      return Want(r, router, out);
+    failover::Duration age =
+        setup_.mutant == Mutant::kWindowRestarted ? failover::Duration{} : known.age(now_);
+    bool nothing_ran = !ran && NextAction(router.ownership.KnownState(), cls_, age, kSendPermit) ==
+                                   failover::RecoveryAction::kSend;
+    bool repeat = nothing_ran || (cls_.effect == Effect::kKeyed && age + kSendPermit < cls_.window);
+    if (repeat && !std::exchange(router.retried, true) && known.phase() != RecordProposer::Phase::kLost)
+      return RequestAttempt(r, router, out);
     router.ownership.Finish(now_, nothing_ran ? OperationOutcome::kRejected : OperationOutcome::kFailed, "",
                             out);
   });
 }
 
 void FailoverModel::Send(std::size_t r, Router& router) {
-  for (const Sent& before : sent_) {
+  for (const SentAttempt& before : sent_) {
     if (before.ran == 0) continue;
     switch (lab::JudgeRepeat(cls_, now_ - before.at, {}, true)) {
       case lab::Repeat::kNever:
-        Broken("unsafe operation sent twice");
+        ReportViolation("unsafe operation sent twice");
         break;
       case lab::Repeat::kTooLate:
-        Broken("keyed operation sent again after its window");
+        ReportViolation("keyed operation sent again after its window");
         break;
       default:
         break;
     }
   }
-  if (!told_.empty() && now_ > told_at_ + kWithin) Broken("sent what had ended");
+  if (!outcome_.empty() && now_ > outcome_at_ + kSendPermit)
+    ReportViolation("sent after the outcome was returned");
   sent_.push_back({static_cast<int>(r), now_, 1});
-  router.out = true;
+  router.in_progress = true;
 }
 
-void FailoverModel::Tell(OperationOutcome outcome, const std::string& value) {
-  if (outcome == OperationOutcome::kRejected) return;  // see Committed
+void FailoverModel::OnOutcome(OperationOutcome outcome, const std::string& value) {
+  if (outcome == OperationOutcome::kRejected) return;  // checked by CheckRejection
   std::string text = std::string(failover::kOutcomeNames[static_cast<int>(outcome)]) + value;
-  if (!told_.empty() && told_ != text) Broken("two ends: " + told_ + ", " + text);
-  if (told_.empty()) told_at_ = now_;
-  told_ = text;
+  if (!outcome_.empty() && outcome_ != text)
+    ReportViolation("conflicting outcomes: " + outcome_ + ", " + text);
+  if (outcome_.empty()) outcome_at_ = now_;
+  outcome_ = text;
 }
 
-void FailoverModel::Broken(const std::string& rule) {
-  if (broken_.empty()) broken_ = rule;
+void FailoverModel::ReportViolation(const std::string& rule) {
+  if (violation_.empty()) violation_ = rule;
 }
 
 }  // namespace peatbend::orders
