--- a/src/compat/covers.cpp
+++ b/src/compat/covers.cpp
@@ -127,8 +127,8 @@
   return said;
 }
 
-Covers::Verdict Covers::Read(failover::TimePoint now, int place, std::string_view reader, std::string_view reads,
-                             std::string_view statement) {
+Covers::Verdict Covers::Read(failover::TimePoint now, int place, std::string_view reader,
+                             std::string_view reads, std::string_view statement) {
   if (reader.empty()) return {all_[static_cast<std::size_t>(place)].unstated ? Word::kMay : Word::kUnstated};
   auto said = StatementOf(reader, reads, statement);
   bool unnumbered = statement.empty() && !all_[static_cast<std::size_t>(place)].statement.empty();
--- a/src/compat/wire.cpp
+++ b/src/compat/wire.cpp
@@ -17,7 +17,8 @@
 constexpr std::size_t kMostName = 64, kMostNames = 64, kMostValue = 256u << 10;
 
 json ToJson(const Ballot& ballot) {
-  return json::array({ballot.round, ballot.proposer.name, ballot.proposer.generation, ballot.proposer.proposal});
+  return json::array(
+      {ballot.round, ballot.proposer.name, ballot.proposer.generation, ballot.proposer.proposal});
 }
 bool Read(const json* from, Ballot& ballot) {
   if (from == nullptr) return false;
--- a/src/compat/wire.h
+++ b/src/compat/wire.h
@@ -35,7 +35,8 @@
   std::string bytes;
 };
 
-// `seats`: failover::ReplicaSet::fingerprint() of the sender; who reckons with other seats is not listened to.
+// `seats`: failover::ReplicaSet::fingerprint() of the sender; who reckons with other seats is not listened
+// to.
 std::string Encode(std::uint64_t seats, const Say& say);
 using net::DecodeError;
 // Reads what a stranger may have written. Never throws.
--- a/src/rations/wire.h
+++ b/src/rations/wire.h
@@ -20,7 +20,8 @@
 // Messages for one receiver, written one after another.
 class Parcel {
  public:
-  // `seats`: failover::ReplicaSet::fingerprint() of the sender; who reckons with other seats is not listened to.
+  // `seats`: failover::ReplicaSet::fingerprint() of the sender; who reckons with other seats is not listened
+  // to.
   explicit Parcel(std::uint64_t seats) : seats_(seats) {}
   // False: with it the parcel would have more than `most` bytes, or too many messages, and stays as it was.
   // The first is always taken.
