--- a/src/compat/wire.cpp
+++ b/src/compat/wire.cpp
@@ -17,14 +17,15 @@
 constexpr std::size_t kMostName = 64, kMostNames = 64, kMostValue = 256u << 10;
 
 json ToJson(const Ballot& ballot) {
-  return json::array({ballot.round, ballot.proposer.name, ballot.proposer.life, ballot.proposer.proposal});
+  return json::array(
+      {ballot.round, ballot.proposer.name, ballot.proposer.generation, ballot.proposer.proposal});
 }
 bool Read(const json* from, Ballot& ballot) {
   if (from == nullptr) return false;
   FieldReader fields(*from);
   return fields.Number(ballot.round, kUnbounded)
       .Text(ballot.proposer.name, kMostName)
-      .Number(ballot.proposer.life, kUnbounded)
+      .Number(ballot.proposer.generation, kUnbounded)
       .Number(ballot.proposer.proposal, kUnbounded)
       .ok();
 }
--- a/src/rations/wire.h
+++ b/src/rations/wire.h
@@ -20,7 +20,8 @@
 // Encodes messages to one receiver, one after the other.
 class MessageBatch {
  public:
-  // `replica_set`: failover::ReplicaSet::print() of the sender; receivers with another one reject the batch.
+  // `replica_set`: failover::ReplicaSet::fingerprint() of the sender; receivers with another one reject the
+  // batch.
   explicit MessageBatch(std::uint64_t replica_set) : replica_set_(replica_set) {}
   // Returns false and leaves the batch as it was if it would exceed `max_bytes` or kMaxMessages. The first
   // message is always added.
--- a/tests/fuzz/rations_fuzz.cpp
+++ b/tests/fuzz/rations_fuzz.cpp
@@ -58,7 +58,7 @@
                                                unsigned seed) {
   static const failover::ReplicaSet replicas(kReplicaNames);
   if (seed % 4 == 0) {
-    std::string sample = Sample(seed / 8, replicas.print());
+    std::string sample = Sample(seed / 8, replicas.fingerprint());
     size = std::min(sample.size(), max_size);
     std::copy_n(sample.begin(), size, data);
     if (seed % 8 == 0) return size;
@@ -71,10 +71,10 @@
   static const auto table = TestTable();
   std::string_view bytes(reinterpret_cast<const char*>(data), size);
   std::vector<Message> messages, again;
-  if (Decode(bytes, replicas.print(), messages) != DecodeError::kNone)
+  if (Decode(bytes, replicas.fingerprint(), messages) != DecodeError::kNone)
     return messages.empty() ? 0 : (std::abort(), 0);
   // What was decoded decodes to the same once it is encoded again.
-  if (Decode(Encode(replicas.print(), messages), replicas.print(), again) != DecodeError::kNone ||
+  if (Decode(Encode(replicas.fingerprint(), messages), replicas.fingerprint(), again) != DecodeError::kNone ||
       again != messages)
     std::abort();
   Time now = 10s;
@@ -99,7 +99,8 @@
   Bucket root = table->ChainOf({}).root();
   if (manager.ledger().debt(root) > AheadOf(table->rations[0].pace)) std::abort();
   for (const Outgoing& out : sent) {
-    if (Decode(Encode(replicas.print(), {out.message}), replicas.print(), again) != DecodeError::kNone)
+    if (Decode(Encode(replicas.fingerprint(), {out.message}), replicas.fingerprint(), again) !=
+        DecodeError::kNone)
       std::abort();
   }
   return 0;
