--- a/include/peatbend/balancer.h
+++ b/include/peatbend/balancer.h
@@ -1,16 +1,15 @@
-// peatbend: the decisions of a proxy that spreads keys over cache servers in front of a slow
-// origin.
+// Routing decisions of a router that spreads keys over cache servers in front of a slow origin.
 //
-// This file is the whole interface. A proxy makes one Balancer per instance from the start-up
-// settings, feeds it every event in order, and carries out the actions it appends, in order.
+// This header is the whole public interface of the library. A router creates one Balancer from its
+// start-up settings, passes it every event in order, and carries out the appended actions in order.
 //
-// Ownership: the Balancer copies what it keeps; spans and views in an event need to live only for
-//            the call. Actions own their data.
-// Threads:   none. One thread at a time may call one Balancer; two Balancers share nothing.
-// Time:      the caller passes the time with each event; it must never go back. The Balancer reads
-//            no clock, and identical settings, seed and events give identical actions.
-// Thrown:    std::invalid_argument, naming the field, for settings or requests that make no sense.
-// Owed:      each Send must be answered by exactly one Outcome; each SetTimer by one TimerEvent.
+// Ownership: the Balancer copies what it keeps. Spans and views in an event only need to be valid
+//            during the call. Actions own their data.
+// Threads:   a Balancer may be called by one thread at a time. Two Balancers share no state.
+// Time:      the caller passes the current time with each event; it must never go back. The Balancer
+//            reads no clock: identical settings, seed and events give identical actions.
+// Errors:    std::invalid_argument, naming the field, for invalid settings or requests.
+// Contract:  each Send must be answered by exactly one OutcomeEvent, each SetTimer by one TimerEvent.
 #pragma once
 
 #include <array>
@@ -28,7 +27,7 @@
 
 using Duration = std::chrono::nanoseconds;
 
-// The caller's clock: any origin, only moves forward.
+// The caller's clock: arbitrary epoch, never goes back.
 struct CallerClock {
   using duration = Duration;
   using rep = duration::rep;
@@ -39,7 +38,7 @@
 using TimePoint = CallerClock::time_point;
 
 enum class RequestId : std::uint32_t {};
-enum class TimerMark : std::uint64_t {};
+enum class TimerId : std::uint64_t {};
 enum class Key : std::uint64_t {};
 struct ServerId {
   std::string name;
@@ -48,86 +47,96 @@
 
 // ---- Settings -----------------------------------------------------------------------------------
 
+// Whether a request may be repeated after an attempt that may have run: always (kSafe); within the
+// deduplication window and group, as it carries an idempotency key (kKeyed); never (kUnsafe).
 enum class Effect { kSafe, kKeyed, kUnsafe };
-enum class Group { kAll, kZone, kCell };
+// The servers among which a keyed request is deduplicated: all of them, those of one zone, or those of one
+// cell.
+enum class DedupGroup { kAll, kZone, kCell };
 
 struct ClassSettings {
   std::string name;
-  Duration aim{};       // an answer within this earns the full worth
-  Duration deadline{};  // total client wait
+  Duration aim{};       // an answer within this time earns the full worth
+  Duration deadline{};  // how long the client waits in total
   Effect effect = Effect::kSafe;
-  Group group = Group::kAll;  // keyed only: the servers that discard repeats of a request
-  Duration window{};          // keyed only: for how long they do
+  DedupGroup dedup_group = DedupGroup::kAll;  // keyed only: the servers that discard repeats of a request
+  Duration dedup_window{};                    // keyed only: how long after the first attempt they do so
   double worth = 1;
   double late_share = 0;  // fraction of the worth earned between aim and deadline
-  bool stream = false;
+  bool stream = false;    // answers are streamed and may outlast the deadline
   bool operator==(const ClassSettings&) const = default;
 };
 
 struct TenantSettings {
   std::string name;
   double share = 0;
-  double allowance_per_s = 0;  // over all proxies; 0: not stated
+  double allowance_per_s = 0;  // requests per second over all routers; 0: not stated
   bool operator==(const TenantSettings&) const = default;
 };
 
 struct Settings {
   std::vector<ClassSettings> classes;
   std::vector<TenantSettings> tenants;
-  bool must_subscribe = false;  // discovery sends news only when asked
-  bool aside = false;           // a miss is answered MISS and fetched by the proxy from the origin
-  int origin_kind = -1;         // aside: the origin's entry has this kind
-  int proxies = 1;              // instances in this tier
-  int index = -1;               // this instance amongst them, from 0; -1: not told
-  int zone = 0;                 // where this instance is
-  double over_share_worth = 1;  // worth of a request beyond its tenant's share
+  bool must_subscribe = false;  // discovery sends updates only to subscribers
+  bool cache_aside = false;     // cache servers answer MISS, and the router fetches from the origin
+  int origin_kind = -1;         // with cache_aside: the kind of the origin's entry
+  int routers = 1;              // number of routers in this tier
+  int router_index = -1;        // position of this router among them, from 0; -1: unknown
+  int zone = 0;                 // zone of this router
+  double over_share_worth = 1;  // factor on the worth of a request beyond its tenant's share
   bool worth_by_work = false;   // worth is counted per unit of work
   int try_limit = 1;            // attempts per request
-  bool shared_trials = false;   // trials of ejected servers are asked for, by Trial, and told by TrialEvent
-  bool may_cancel = false;
-  bool second_copies = false;  // two attempts of a safe request may be out at once
-  bool retry_after = false;    // clients may be told how long to hold off
-  Duration max_retry_after{};
-  Duration answer_grace{};    // a final answer is valid this long after the deadline
-  Duration ask_every{};       // must_subscribe: silence longer than this counts as having been told
-  double start_capacity = 1;  // a server boots with this fraction of its capacity or more
-  Duration warm_after{};      // and has all of it after this
-  Duration drain_grace{};
-  double fall_multiple = 0;  // a cold server sent more than this multiple of its capacity
-  Duration tip_after{};      // for this long falls over
-  // Attempts beyond each request's first, in any such window: at most free_resends plus
-  // extra_per_request times the requests taken in it. No window: no such rule.
+  // The fleet coordinates the trials of ejected servers, by ReportTrial and TrialEvent.
+  bool shared_trials = false;
+  bool may_cancel = false;            // attempts in flight may be cancelled
+  bool concurrent_attempts = false;   // a safe request may have two attempts in flight
+  bool may_send_retry_after = false;  // a rejection may tell the client when to retry
+  Duration max_retry_after{};         // longest time that a rejection may tell
+  Duration answer_grace{};            // a final answer is valid this long after the deadline
+  // With must_subscribe: how long the held list counts as current; a new subscription must begin by then.
+  Duration subscribe_interval{};
+  double start_capacity = 1;  // fraction of its capacity that a server has at least when it starts
+  Duration warm_after{};      // time from its start until a server has its full capacity
+  Duration drain_grace{};     // attempts may still reach a server this long after its drain is announced
+  // A cold server fails when it gets more than this multiple of its capacity for this long.
+  double overload_multiple = 0;
+  Duration overload_duration{};
+  // Limit on attempts beyond the first of each request: within any attempt_window at most free_resends plus
+  // extra_per_request times the requests that arrived in it. Without a window there is no such limit.
   std::optional<Duration> attempt_window;
   std::optional<double> free_resends, extra_per_request;
-  double connection_price = 0;            // of a mean of 100 open connections a server
-  double handshake_price = 0;             // of a new connection for each request
-  Duration keepalive{};                   // idle connections close after this; zero: not told
-  Duration tick{};                        // least time between batches
-  Duration dial_timeout{};                // a connection not up by then could not be made; zero: not told
-  std::vector<std::string> zones, kinds;  // by index, as entries of the list number them
+  double connection_price = 0;            // cost of a mean of 100 open connections per server
+  double handshake_price = 0;             // cost of one new connection per request
+  Duration keepalive{};                   // idle connections close after this; zero: unknown
+  Duration tick{};                        // shortest time between batches of events
+  Duration dial_timeout{};                // a connection that takes longer to open has failed; zero: unknown
+  std::vector<std::string> zones, kinds;  // names, by the numbers used in server entries
   bool operator==(const Settings&) const = default;
 };
 
-// Sets the field that a path such as "classes.0.deadline" names, in the units of the simulator's first
-// message; the router's configuration uses the same. Paths not known are passed over. Throws
-// std::invalid_argument, naming the path, where the text is no value for it.
+// Sets the field named by a path such as "classes.0.deadline". Paths and units are those of the simulator's
+// first message and of the router's configuration. Unknown paths are ignored. Throws std::invalid_argument,
+// naming the path, if the text is not a valid value.
 void SetByPath(Settings& settings, std::string_view path, std::string_view text);
 
-// Throws std::invalid_argument, naming the field, where the settings cannot be worked with.
+// Throws std::invalid_argument, naming the field, if a setting is invalid.
 void CheckSettings(const Settings& settings);
 
 // ---- Events -------------------------------------------------------------------------------------
 
-enum class Listed { kGone = 0, kReady = 1, kDraining = 2 };
+// State of a server, as discovery lists it.
+enum class ServerState { kGone = 0, kReady = 1, kDraining = 2 };
+// What a membership event carries: changes only, the full list, a full list cached from an earlier run, or
+// nothing because discovery could not be reached.
 enum class Scope { kDelta = 0, kFull = 1, kCached = 2, kFailed = 3 };
 
 struct ServerEntry {
   ServerId id;
-  Listed listed = Listed::kReady;
+  ServerState state = ServerState::kReady;
   int kind = 0;
   int cell = 0;
   int zone = 0;
-  TimePoint started{};  // zero: long ago
+  TimePoint started{};  // start of its process; zero: long ago
   double weight = 1;
 };
 
@@ -136,8 +145,9 @@
   std::span<const ServerEntry> entries;
 };
 
-// What the fleet's rations say of a request, where there are any.
-enum class Allowance { kWithin, kLower, kReject };
+// What the fleet's quotas decide on a request: within the quota; over it, served at a lower priority; over
+// it, rejected.
+enum class QuotaVerdict { kWithin, kDeprioritize, kReject };
 
 struct RequestEvent {
   RequestId id{};
@@ -146,20 +156,24 @@
   int cls = 0;
   bool write = false;
   bool retry = false;
-  Duration work_hint{};                      // zero: not told
-  Duration remaining{};                      // before the client abandons this try
-  Allowance allowance = Allowance::kWithin;  // kLower: ranks below what is within its ration
-  Duration come_back{};                      // kReject: when it may be within it
+  Duration work_hint{};  // work that the request is expected to cost; zero: unknown
+  Duration remaining{};  // until the client gives up this try
+  QuotaVerdict quota_verdict = QuotaVerdict::kWithin;
+  Duration retry_after{};  // kReject: when a retry may be within the quota
 };
 
+// How an attempt ended: answered; answered with an error; turned away by a server at capacity; timed out; no
+// connection; connection lost; cancelled; never sent; not in the cache.
 enum class Result { kGood, kBad, kFull, kLate, kNoConn, kReset, kCancelled, kNeverSent, kMiss };
-enum class Note { kNone = 0, kHit = 1, kMiss = 2, kMissFetching = 3 };
+// What a cache server reports of its lookup. kMissFetching: a miss that the server is already fetching.
+enum class CacheStatus { kNone = 0, kHit = 1, kMiss = 2, kMissFetching = 3 };
 
 struct LoadReport {
   std::optional<double> in_flight, queued, utilisation, service_ms, per_second, errors_per_second;
 };
 
-// A report as servers write it: "depth:1,mean_ms:4.5" on the simulator's wire, "depth=1" on sockets.
+// Parses the load report of a server: "depth:1,mean_ms:4.5" on the simulator's wire, "depth=1" on sockets.
+// Unknown names and malformed values are ignored.
 LoadReport ParseLoadReport(std::string_view text);
 
 struct OutcomeEvent {
@@ -167,38 +181,40 @@
   int attempt = 0;
   std::string_view server;
   Result result = Result::kGood;
-  Note note = Note::kNone;
+  CacheStatus cache_status = CacheStatus::kNone;
   Duration elapsed{};
-  bool done = false;  // the request has ended
+  bool done = false;  // the request has ended with this attempt
   LoadReport load;
 };
 
+// The answer has begun to stream to the client, so the request cannot be sent again.
 struct StreamStartEvent {
   RequestId id{};
   int attempt = 0;
 };
 
-struct GoneEvent {  // the client left, or its time ran out
+// The client closed its connection, or its deadline passed.
+struct ClientGoneEvent {
   RequestId id{};
 };
 
 struct TimerEvent {
-  TimerMark mark{};
+  TimerId id{};
 };
 
-// With shared_trials: what the fleet says of a server.
-enum class TrialWord {
-  kTry,   // the next request that may be tried is its trial, and this proxy says how it went
-  kWait,  // the trial is another's
-  kOut,   // nor does this proxy ask it, whatever it has seen of it
-  kBack,  // it has come back, or this proxy's turn to ask it has
+// With shared_trials: what this router shall do with a server, by the decision of the fleet.
+enum class TrialDirective {
+  kTry,      // send the next eligible request to it as a trial and report the result
+  kWait,     // another router runs the trial
+  kEject,    // send nothing to it, whatever this router has observed
+  kReadmit,  // send to it again: it has recovered, or the fleet leaves its trials to this router
 };
 struct TrialEvent {
   ServerId server;
-  TrialWord word = TrialWord::kTry;
+  TrialDirective directive = TrialDirective::kTry;
 };
 
-using Event = std::variant<MembershipEvent, RequestEvent, OutcomeEvent, StreamStartEvent, GoneEvent,
+using Event = std::variant<MembershipEvent, RequestEvent, OutcomeEvent, StreamStartEvent, ClientGoneEvent,
                            TimerEvent, TrialEvent>;
 
 // ---- Actions ------------------------------------------------------------------------------------
@@ -206,16 +222,18 @@
 struct Send {
   RequestId id{};
   ServerId server;
-  Duration give_up_after{};
-  // From now: the attempt's first byte must not be written later than this. One that could not begin by then
-  // is given up unsent, and its outcome says that it never ran.
+  Duration give_up_after{};  // timeout of the attempt
+  // The first byte must not be written later than this after now. An attempt that could not start by then is
+  // dropped, and its outcome is kNeverSent.
   Duration begin_within = Duration::max();
 };
-struct Refuse {  // final; tells the client that a retry is harmless
+// Final answer. Tells the client that a retry is safe.
+struct Reject {
   RequestId id{};
-  Duration backoff{};
+  Duration backoff{};  // how long the client should wait before a retry; zero: not told
 };
-struct Fail {  // final; promises nothing
+// Final answer. The request may or may not have run.
+struct Fail {
   RequestId id{};
 };
 struct Cancel {
@@ -223,29 +241,31 @@
   int attempt = 0;
 };
 struct SetTimer {
-  TimerMark mark{};
-  Duration in{};
+  TimerId id{};
+  Duration delay{};
 };
 struct Subscribe {};
-struct Release {  // close the idle connections to this server
+struct CloseIdleConnections {
   ServerId server;
 };
 struct Log {
   std::string text;
 };
-struct Trial {  // with shared_trials: this proxy has ejected it, or its trial has ended
+// With shared_trials: this router has ejected the server, or the trial that it was told to run has ended.
+struct ReportTrial {
   ServerId server;
-  bool good = false;
+  bool healthy = false;
 };
 
-using Action = std::variant<Send, Refuse, Fail, Cancel, SetTimer, Subscribe, Release, Log, Trial>;
+using Action =
+    std::variant<Send, Reject, Fail, Cancel, SetTimer, Subscribe, CloseIdleConnections, Log, ReportTrial>;
 
 // ---- The balancer -------------------------------------------------------------------------------
 
-// The Maglev table: slot -> index into the ids it was built from. `turns`: how many slots each claims a round
-// of the fill; without them one each. Exposed for tests and tools.
+// Builds a Maglev table: slot -> index into sorted_ids. slots_per_round: how many slots each server claims in
+// a round of the fill; empty: one each. Exposed for tests and tools.
 std::vector<std::uint16_t> BuildMaglevTable(std::span<const std::string_view> sorted_ids,
-                                            std::span<const int> turns = {});
+                                            std::span<const int> slots_per_round = {});
 
 class Balancer {
  public:
@@ -254,18 +274,19 @@
   Balancer(Balancer&&) noexcept;
   Balancer& operator=(Balancer&&) noexcept;
 
-  // Takes one event and appends what is to be done.
+  // Processes one event and appends the actions to carry out. Throws std::invalid_argument for a RequestEvent
+  // with an unknown class, a negative remaining time or an id that is in use.
   void Handle(TimePoint now, const Event& event, std::vector<Action>& actions);
-  // Maglev tables built so far, for tests and tools: what a change of the list costs.
+  // Number of Maglev tables built so far; shows what changes of the server list cost.
   std::uint64_t tables_built() const;
-  // Listed cache servers that get nothing now: draining or ejected.
-  std::size_t avoided() const;
-  // Whether requests wait for the origin, or its bound has been cut as far as it goes.
-  bool origin_strained() const;
+  // Number of listed cache servers that get no requests now: draining or ejected.
+  std::size_t unavailable() const;
+  // Whether requests are queued for the origin, or its in-flight limit is at its minimum.
+  bool origin_overloaded() const;
 
  private:
-  class Brain;
-  std::unique_ptr<Brain> brain_;
+  class Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace peatbend
--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -50,10 +50,10 @@
     number(" tid=", static_cast<std::uint32_t>(send->id));
     out.append(" node=").append(send->server.name);
     number(" giveUpAfter=", send->give_up_after.count());
-  } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
+  } else if (const auto* reject = std::get_if<Reject>(&action)) {
     start("REFUSE");
-    number(" tid=", static_cast<std::uint32_t>(refuse->id));
-    if (refuse->backoff > Duration::zero()) number(" backoff=", refuse->backoff.count());
+    number(" tid=", static_cast<std::uint32_t>(reject->id));
+    if (reject->backoff > Duration::zero()) number(" backoff=", reject->backoff.count());
   } else if (const auto* fail = std::get_if<Fail>(&action)) {
     start("REPORT_FAILURE");
     number(" tid=", static_cast<std::uint32_t>(fail->id));
@@ -63,12 +63,12 @@
     number(" shot=", cancel->attempt);
   } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
     start("NOTIFY_ME");
-    number(" mark=", static_cast<std::uint64_t>(timer->mark));
-    number(" in=", timer->in.count());
+    number(" mark=", static_cast<std::uint64_t>(timer->id));
+    number(" in=", timer->delay.count());
   } else if (std::holds_alternative<Subscribe>(action)) {
     start("KEEP_INFORMED");
     out.append(" want=1");
-  } else if (const auto* release = std::get_if<Release>(&action)) {
+  } else if (const auto* release = std::get_if<CloseIdleConnections>(&action)) {
     start("RELEASE");
     out.append(" node=").append(release->server.name);
   } else if (const auto* log = std::get_if<Log>(&action)) {
@@ -253,16 +253,16 @@
       }
     }
     if (!known) Bad("a known outcome", word);
-    event.note = static_cast<Note>(fields.NumberOr<int>("info", 0, 0, kIndex));
+    event.cache_status = static_cast<CacheStatus>(fields.NumberOr<int>("info", 0, 0, kIndex));
     event.elapsed = Duration(fields.TimeOr("delaySeen"));
     event.done = fields.NumberOr<int>("doneFlag", 0, 0, 1) == 1;
     event.load = ParseLoadReport(fields.TextOr("telemetry", ""));
     Deliver(fields.Instance(), event, reply);
   } else if (name == "BELL") {
-    Deliver(fields.Instance(), TimerEvent{TimerMark{fields.Number<std::uint64_t>("mark", 0, kMaxToken)}},
+    Deliver(fields.Instance(), TimerEvent{TimerId{fields.Number<std::uint64_t>("mark", 0, kMaxToken)}},
             reply);
   } else if (name == "HANGUP") {
-    Deliver(fields.Instance(), GoneEvent{fields.Request()}, reply);
+    Deliver(fields.Instance(), ClientGoneEvent{fields.Request()}, reply);
   } else if (name == "ACCEPTED") {
     Deliver(fields.Instance(), StreamStartEvent{fields.Request(), fields.Number<int>("shot", 0, kIndex)},
             reply);
@@ -274,7 +274,7 @@
     if (rows_left_ == 0) Bad("no ROW beyond those counted", name);
     --rows_left_;
     ServerEntry entry;
-    entry.listed = static_cast<Listed>(fields.Number<int>("condition", 0, 2));
+    entry.state = static_cast<ServerState>(fields.Number<int>("condition", 0, 2));
     entry.id = ServerId{std::string(fields.Text("node"))};
     if (entry.id.name.empty()) Bad("a node's name", "nothing");
     entry.kind = fields.NumberOr<int>("kind", 0, 0, kIndex);
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -51,7 +51,7 @@
 void DiscoveryWatch::Hold(const ServerList& list) {
   if (list.snapshot) held_.clear();
   for (const ServerListEntry& entry : list.entries) {
-    if (entry.entry.listed == Listed::kGone) {
+    if (entry.entry.state == ServerState::kGone) {
       held_.erase(entry.entry.id.name);
     } else {
       held_.insert_or_assign(entry.entry.id.name, entry);
--- a/src/discovery/server_list.cpp
+++ b/src/discovery/server_list.cpp
@@ -42,15 +42,15 @@
   if (entry.entry.id.name.empty()) throw std::invalid_argument("name: empty");
   auto status = Field<std::string>(object, "status");
   if (status == "SERVING") {
-    entry.entry.listed = Listed::kReady;
+    entry.entry.state = ServerState::kReady;
   } else if (status == "DRAINING") {
-    entry.entry.listed = Listed::kDraining;
+    entry.entry.state = ServerState::kDraining;
   } else if (status == "DELETED") {
-    entry.entry.listed = Listed::kGone;
+    entry.entry.state = ServerState::kGone;
   } else {
     throw std::invalid_argument("status: not known: " + status);
   }
-  bool gone = entry.entry.listed == Listed::kGone;
+  bool gone = entry.entry.state == ServerState::kGone;
   std::string none;
   entry.address = Field<std::string>(object, "address", gone ? &none : nullptr);
   if (!entry.address.empty()) ReadAddress(entry.address, entry.to, entry.to_size);
@@ -78,7 +78,7 @@
           {"zone", name_of(settings.zones, server.zone)},
           {"type", name_of(settings.kinds, server.kind)},
           {"group", server.cell},
-          {"status", server.listed == Listed::kReady ? "SERVING" : "DRAINING"},
+          {"status", server.state == ServerState::kReady ? "SERVING" : "DRAINING"},
           {"weight", server.weight},
           {"since_ms", since.count()}};
 }
--- a/src/failover/operation_ownership.cpp
+++ b/src/failover/operation_ownership.cpp
@@ -10,7 +10,7 @@
   if (!ran) return RecoveryAction::kSend;
   if (cls.effect == Effect::kSafe) return RecoveryAction::kRetry;
   if (cls.effect == Effect::kUnsafe) return RecoveryAction::kFail;
-  return age + unsure < cls.window ? RecoveryAction::kRetry : RecoveryAction::kFail;
+  return age + unsure < cls.dedup_window ? RecoveryAction::kRetry : RecoveryAction::kFail;
 }
 
 // What is committed, with what this process knows of its own attempts: one that was neither permitted nor is
--- a/src/failover/ownership_manager.cpp
+++ b/src/failover/ownership_manager.cpp
@@ -217,7 +217,7 @@
   bool elsewhere = std::ranges::any_of(known.attempts, [&](const AttemptRecord& attempt) {
     return attempt.may_have_run && attempt.by != record.proposer() && attempt.server != pending.server;
   });
-  bool grouped = pending.cls.effect == Effect::kKeyed && pending.cls.group != Group::kAll;
+  bool grouped = pending.cls.effect == Effect::kKeyed && pending.cls.dedup_group != DedupGroup::kAll;
   return next == RecoveryAction::kRetry && grouped && elsewhere ? RecoveryAction::kFail : next;
 }
 
--- a/src/lab/crowd.cpp
+++ b/src/lab/crowd.cpp
@@ -131,8 +131,8 @@
   const ClassSettings& cls = scenario_.classes[static_cast<std::size_t>(planned.cls)].rules;
   Time next = agenda_.now() + wait;
   bool may = harmless || cls.effect == Effect::kSafe ||
-             (cls.effect == Effect::kKeyed && cls.group == Group::kAll &&
-              next < state_[one.request].first_sent + cls.window);
+             (cls.effect == Effect::kKeyed && cls.dedup_group == DedupGroup::kAll &&
+              next < state_[one.request].first_sent + cls.dedup_window);
   bool time = next < planned.at + cls.deadline - world::FromMs(5);
   if (!may || !time || one.number >= scenario_.retries) return End(one.request, last);
   state_[one.request].current = -1;
--- a/src/lab/rules.h
+++ b/src/lab/rules.h
@@ -8,7 +8,7 @@
 
 // Whether a client may be told to ask again though an attempt may have run.
 inline bool HarmlessToAskAgain(const ClassSettings& cls) {
-  return cls.effect == Effect::kSafe || (cls.effect == Effect::kKeyed && cls.group == Group::kAll);
+  return cls.effect == Effect::kSafe || (cls.effect == Effect::kKeyed && cls.dedup_group == DedupGroup::kAll);
 }
 
 enum class Repeat { kFine, kNever, kTooLate, kOutsideGroup };
@@ -17,7 +17,7 @@
 inline Repeat JudgeRepeat(const ClassSettings& cls, Duration since, Duration slack, bool same_group) {
   if (cls.effect == Effect::kSafe) return Repeat::kFine;
   if (cls.effect == Effect::kUnsafe) return Repeat::kNever;
-  if (since > cls.window + slack) return Repeat::kTooLate;
+  if (since > cls.dedup_window + slack) return Repeat::kTooLate;
   return same_group ? Repeat::kFine : Repeat::kOutsideGroup;
 }
 
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -64,11 +64,13 @@
   t.Yes("write", read.write);
   read.rules.aim = aim;
   read.rules.deadline = deadline;
-  read.rules.window = window;
+  read.rules.dedup_window = window;
   read.rules.effect = effect == "read_like"         ? Effect::kSafe
                       : effect == "idempotency_key" ? Effect::kKeyed
                                                     : Effect::kUnsafe;
-  read.rules.group = group == "all" ? Group::kAll : group == "zone" ? Group::kZone : Group::kCell;
+  read.rules.dedup_group = group == "all"    ? DedupGroup::kAll
+                           : group == "zone" ? DedupGroup::kZone
+                                             : DedupGroup::kCell;
   if (read.rules.name.empty()) t.Fault(nullptr, "name", "missing");
   scenario.classes.push_back(read);
 }
--- a/src/lab/scenario_settings.cpp
+++ b/src/lab/scenario_settings.cpp
@@ -20,8 +20,8 @@
                        {"objective", ns(c.aim)},
                        {"deadline", ns(c.deadline)},
                        {"effect", effects[static_cast<int>(c.effect)]},
-                       {"group", groups[static_cast<int>(c.group)]},
-                       {"window", ns(c.window)},
+                       {"group", groups[static_cast<int>(c.dedup_group)]},
+                       {"window", ns(c.dedup_window)},
                        {"value", c.worth},
                        {"lateShare", c.late_share}});
   }
--- a/src/lab/virtual_attempts.cpp
+++ b/src/lab/virtual_attempts.cpp
@@ -133,11 +133,11 @@
   if (verdict != Verdict::kSpoilt) idle_[attempt->place].push_back(day_.agenda.now());
   switch (verdict) {
     case Verdict::kValue:
-      return Ended(attempt, Result::kGood, attempt->place < 0 ? Note::kNone : Note::kHit);
+      return Ended(attempt, Result::kGood, attempt->place < 0 ? CacheStatus::kNone : CacheStatus::kHit);
     case Verdict::kMiss:
-      return Ended(attempt, Result::kMiss, Note::kMiss);
+      return Ended(attempt, Result::kMiss, CacheStatus::kMiss);
     case Verdict::kPending:
-      return Ended(attempt, Result::kMiss, Note::kMissFetching);
+      return Ended(attempt, Result::kMiss, CacheStatus::kMissFetching);
     case Verdict::kBusy:
       return Ended(attempt, Result::kFull);
     case Verdict::kFailed:
@@ -146,7 +146,7 @@
   }
 }
 
-void VirtualRouter::Ended(const AttemptPtr& attempt, Result result, Note note) {
+void VirtualRouter::Ended(const AttemptPtr& attempt, Result result, CacheStatus note) {
   if (std::exchange(attempt->done, true)) return;
   std::erase(attempts_, attempt);
   if (attempt->job && (result == Result::kLate || result == Result::kCancelled)) {
@@ -165,7 +165,7 @@
   event.attempt = attempt->number;
   event.server = attempt->member;
   event.result = result;
-  event.note = note;
+  event.cache_status = note;
   event.elapsed = day_.agenda.now() - attempt->sent;
   event.done = true;
   if (found != open_.end()) {
--- a/src/lab/virtual_router.cpp
+++ b/src/lab/virtual_router.cpp
@@ -46,7 +46,7 @@
     if (gone && scope != Scope::kDelta) continue;
     ServerEntry entry;
     entry.id.name = listing.name;
-    entry.listed = gone ? Listed::kGone : serves ? Listed::kReady : Listed::kDraining;
+    entry.state = gone ? ServerState::kGone : serves ? ServerState::kReady : ServerState::kDraining;
     entry.kind = listing.place < 0 ? 1 : 0;
     entry.zone = listing.zone;
     if (listing.started != Time{}) entry.started = At(listing.started);
@@ -110,7 +110,7 @@
   by_try_.erase(at);
   auto found = open_.find(id);
   if (found == open_.end() || std::exchange(found->second.finished, true) || !up()) return;
-  Ask(GoneEvent{id});
+  Ask(ClientGoneEvent{id});
   Forget(id);
 }
 
@@ -129,9 +129,9 @@
   if (at->second.out == 0) Later(Span{}, [this, id] { Forget(id); });
 }
 
-void VirtualRouter::Do(const Refuse& refuse) {
-  Span back = std::min(refuse.backoff, settings_.max_retry_after);
-  Finish(refuse.id, [this, back](const Try& one) { day_.crowd.Rejected(one, back); });
+void VirtualRouter::Do(const Reject& reject) {
+  Span back = std::min(reject.backoff, settings_.max_retry_after);
+  Finish(reject.id, [this, back](const Try& one) { day_.crowd.Rejected(one, back); });
 }
 
 void VirtualRouter::Do(const Fail& fail) {
@@ -147,10 +147,10 @@
 }
 
 void VirtualRouter::Do(const SetTimer& timer) {
-  Later(timer.in, [this, mark = timer.mark] { Ask(TimerEvent{mark}); });
+  Later(timer.delay, [this, mark = timer.id] { Ask(TimerEvent{mark}); });
 }
 
-void VirtualRouter::Do(const Release& release) {
+void VirtualRouter::Do(const CloseIdleConnections& release) {
   if (auto at = places_.find(release.server.name); at != places_.end()) idle_.erase(at->second);
 }
 
--- a/src/lab/virtual_router.h
+++ b/src/lab/virtual_router.h
@@ -63,14 +63,14 @@
   };
 
   void Ask(const Event& event);
-  void Do(const Refuse& refuse);
+  void Do(const Reject& reject);
   void Do(const Fail& fail);
   void Do(const Cancel& cancel);
   void Do(const SetTimer& timer);
   void Do(const Subscribe&);
-  void Do(const Release& release);
+  void Do(const CloseIdleConnections& release);
   void Do(const Log&) {}
-  void Do(const Trial&) {}
+  void Do(const ReportTrial&) {}
   void Tell(Scope scope, const std::vector<world::Listing>& listings);
   void Forget(RequestId id);
   // The final answer without a value, on its way to the client.
@@ -83,7 +83,7 @@
   void Dial(const AttemptPtr& attempt, Span way);
   void Arrive(const AttemptPtr& attempt, Span way);
   void Answered(const AttemptPtr& attempt, world::Verdict verdict);
-  void Ended(const AttemptPtr& attempt, Result result, Note note = Note::kNone);
+  void Ended(const AttemptPtr& attempt, Result result, CacheStatus note = CacheStatus::kNone);
 
   const Day day_;
   int number_;
--- a/src/lab/warm.cpp
+++ b/src/lab/warm.cpp
@@ -53,7 +53,7 @@
           OutcomeEvent outcome;
           outcome.id = event.id;
           outcome.server = send->server.name;
-          outcome.note = Note::kHit;
+          outcome.cache_status = CacheStatus::kHit;
           outcome.elapsed = std::chrono::milliseconds(100);
           outcome.done = true;
           std::vector<Action> ignored;
--- a/src/member/member_codec.cpp
+++ b/src/member/member_codec.cpp
@@ -14,10 +14,10 @@
   Append(out, "\r\n");
 }
 
-Note ReadNote(std::string_view word) {
-  if (word == "hit") return Note::kHit;
-  if (word == "miss") return Note::kMiss;
-  return word == "pending" ? Note::kMissFetching : Note::kNone;
+CacheStatus ReadNote(std::string_view word) {
+  if (word == "hit") return CacheStatus::kHit;
+  if (word == "miss") return CacheStatus::kMiss;
+  return word == "pending" ? CacheStatus::kMissFetching : CacheStatus::kNone;
 }
 
 class MemberCodec : public ServerCodec {
--- a/src/member/member_connections.cpp
+++ b/src/member/member_connections.cpp
@@ -192,9 +192,9 @@
   for (const ServerListEntry& entry : entries) {
     Member& member = members_[entry.entry.id.name];
     member.name = entry.entry.id.name;
-    member.gone = entry.entry.listed == Listed::kGone;
-    member.draining = entry.entry.listed == Listed::kDraining;
-    member.origin = settings_.aside && entry.entry.kind == settings_.origin_kind;
+    member.gone = entry.entry.state == ServerState::kGone;
+    member.draining = entry.entry.state == ServerState::kDraining;
+    member.origin = settings_.cache_aside && entry.entry.kind == settings_.origin_kind;
     bool moved = !entry.address.empty() && entry.address != member.address;
     if (moved) {
       member.address = entry.address;
@@ -204,7 +204,7 @@
     // What stands open leads to another process, or to one that gets nothing new. An older start is a late
     // list's.
     bool other_process = moved || entry.entry.started > member.started;
-    if (other_process || entry.entry.listed != Listed::kReady) Outdate(member);
+    if (other_process || entry.entry.state != ServerState::kReady) Outdate(member);
     if (other_process) member.unsolicited_bytes = false;
     member.started = std::max(member.started, entry.entry.started);
   }
--- a/src/member/server_codec.h
+++ b/src/member/server_codec.h
@@ -15,7 +15,7 @@
 
 struct FlowReply {
   Result result = Result::kBad;
-  Note note = Note::kNone;
+  CacheStatus note = CacheStatus::kNone;
   LoadReport load;
   BufferPtr value;             // kGood
   std::string_view complaint;  // not empty: what came was malformed
--- a/src/module/attempts.cpp
+++ b/src/module/attempts.cpp
@@ -1,7 +1,7 @@
 // Attempts: a request from its arrival over its sends and outcomes to its one end.
 #include <stdexcept>
 
-#include "module/brain.h"
+#include "module/balancer_impl.h"
 
 namespace peatbend {
 
@@ -14,7 +14,7 @@
 constexpr double kOriginBurst = 3, kFirstLatency = 0.2;
 constexpr double kTooShort = 0.25;  // of the quickest answer of its class, a request's time that is in vain
 
-void Balancer::Brain::On(const RequestEvent& event) {
+void Balancer::Impl::On(const RequestEvent& event) {
   bool known = event.cls >= 0 && event.cls < static_cast<int>(set_.classes.size());
   if (!known) throw std::invalid_argument("request: cls: no such class");
   if (event.remaining < Duration{}) throw std::invalid_argument("request: remaining: must not be negative");
@@ -29,10 +29,10 @@
   request.deadline = now_ + event.remaining;
   bool named = event.tenant >= 0 && event.tenant < static_cast<int>(tenants_.size());
   request.tenant = named ? static_cast<std::size_t>(event.tenant) : tenants_.size();
-  request.come_back = event.come_back;
-  if (event.allowance == Allowance::kReject) return End(request);
+  request.come_back = event.retry_after;
+  if (event.quota_verdict == QuotaVerdict::kReject) return End(request);
   request.value = Value(event, request.tenant);
-  if (event.allowance == Allowance::kLower) request.value *= kOverRation;
+  if (event.quota_verdict == QuotaVerdict::kDeprioritize) request.value *= kOverRation;
   // A client's repeat has mostly used up its aim: it ranks by what a late answer earns.
   if (event.retry) request.value *= set_.classes[request.cls].late_share;
   double& budget = retry_budgets_[request.tenant];
@@ -42,27 +42,27 @@
   // In time that no server has come near to answering in, it would only cost a server its work.
   double quickest = quickest_[event.cls].Now(now_, kRateTime);
   if (Ns(event.remaining) < kTooShort * quickest) return End(request);
-  if (set_.aside && request.write) return AskOrigin(request);
+  if (set_.cache_aside && request.write) return AskOrigin(request);
   RefreshTable();
-  if (set_.aside && request.key && origin_ >= 0) {
+  if (set_.cache_aside && request.key && origin_ >= 0) {
     auto fetch = fetches_.find(*request.key);
     if (fetch != fetches_.end()) return JoinFetch(request, fetch->second);
   }
   ToCache(request);
 }
 
-double Balancer::Brain::RetryMost() const {
-  double all = std::clamp(kRetryMost / set_.proxies, kRetryLow, kRetryHigh);
+double Balancer::Impl::RetryMost() const {
+  double all = std::clamp(kRetryMost / set_.routers, kRetryLow, kRetryHigh);
   return std::max(1.0, all / std::max<double>(1, static_cast<double>(tenants_.size())));
 }
 
 // Worth per work where requests tell theirs and worth does not grow with it; a tenant's excess counts less.
-double Balancer::Brain::Value(const RequestEvent& event, std::size_t tenant) {
+double Balancer::Impl::Value(const RequestEvent& event, std::size_t tenant) {
   double value = set_.classes[event.cls].worth;
   bool per_work = !set_.worth_by_work && event.work_hint > Duration::zero();
   if (per_work) value /= std::max(1e6, Ns(event.work_hint));
   if (tenant == tenants_.size()) return value;
-  double rate = set_.tenants[tenant].allowance_per_s * kTenantSlack / set_.proxies;
+  double rate = set_.tenants[tenant].allowance_per_s * kTenantSlack / set_.routers;
   if (rate <= 0) return value;
   Fading& used = tenants_[tenant];
   used.Add(now_, kHeatTime, 1);
@@ -70,7 +70,7 @@
   return over ? value * set_.over_share_worth : value;
 }
 
-void Balancer::Brain::SendTo(Request& request, int index) {
+void Balancer::Impl::SendTo(Request& request, int index) {
   Server& server = servers_[index];
   if (!LegalSend(request, server)) return End(request);
   Duration begin_within = LatestStart(request) - now_;  // by the attempts before this one
@@ -98,9 +98,9 @@
 }
 
 // The final answer: refused where that is true, else failed. Nothing is sent after it.
-void Balancer::Brain::End(Request& request) {
+void Balancer::Impl::End(Request& request) {
   Duration told = request.come_back > Duration::zero() ? request.come_back : set_.max_retry_after / 4;
-  Refuse refusal{request.id, set_.retry_after ? std::min(told, set_.max_retry_after) : Duration{}};
+  Reject refusal{request.id, set_.may_send_retry_after ? std::min(told, set_.max_retry_after) : Duration{}};
   LegalRefuse(request) ? out_->emplace_back(refusal) : out_->emplace_back(Fail{request.id});
   for (std::size_t i = 0; i < request.attempts.size() && set_.may_cancel; ++i) {
     if (request.attempts[i].open) out_->emplace_back(Cancel{request.id, static_cast<int>(i)});
@@ -108,7 +108,7 @@
   Drop(request, false);
 }
 
-void Balancer::Brain::On(const OutcomeEvent& event) {
+void Balancer::Impl::On(const OutcomeEvent& event) {
   auto known = by_id_.find(event.server);
   int index = known == by_id_.end() ? -1 : known->second;
   if (event.result == Result::kNeverSent) {
@@ -128,12 +128,12 @@
 
 // Idle connections are closed at once where all proxies' together cost a server more than new ones do:
 // their price, and the places that it accepts. Elsewhere they close by themselves.
-void Balancer::Brain::ReleaseIdle(const Server& server) {
-  bool dear = set_.connection_price * set_.proxies / 100 > kHoldWorth * set_.handshake_price;
-  if (dear && server.in_flight == 0) out_->emplace_back(Release{ServerId{server.id}});
+void Balancer::Impl::ReleaseIdle(const Server& server) {
+  bool dear = set_.connection_price * set_.routers / 100 > kHoldWorth * set_.handshake_price;
+  if (dear && server.in_flight == 0) out_->emplace_back(CloseIdleConnections{ServerId{server.id}});
 }
 
-void Balancer::Brain::Settle(Request& request, const OutcomeEvent& event, int index) {
+void Balancer::Impl::Settle(Request& request, const OutcomeEvent& event, int index) {
   if (event.attempt < 0 || event.attempt >= static_cast<int>(request.attempts.size())) return;
   Attempt& attempt = request.attempts[event.attempt];
   attempt.open = false;
@@ -149,7 +149,7 @@
   // Turned away by a full server: waits for it a little, once; then an alternate, or a refusal. Guards
   // against storms of cheap retries that spread a full server's keys over the fleet.
   bool full = event.result == Result::kFull && !at_origin;
-  if (full && Sparse() && set_.aside) return AskOrigin(request);
+  if (full && Sparse() && set_.cache_aside) return AskOrigin(request);
   bool may_wait =
       !Sparse() && !request.waited && set_.try_limit - static_cast<int>(request.attempts.size()) > 2;
   if (full && may_wait) return Enqueue(request, index);
--- a/src/module/balance.cpp
+++ b/src/module/balancer.cpp
@@ -1,9 +1,10 @@
-// All of peatbend's decisions, one event at a time. Their parts are in the files beside this one (brain.h).
-#include "module/brain.h"
+// All of peatbend's decisions, one event at a time. Their parts are in the files beside this one
+// (balancer_impl.h).
+#include "module/balancer_impl.h"
 
 namespace peatbend {
 
-void Balancer::Brain::Handle(TimePoint now, const Event& event, std::vector<Action>& actions) {
+void Balancer::Impl::Handle(TimePoint now, const Event& event, std::vector<Action>& actions) {
   now_ = now;
   out_ = &actions;
   if (began_ == TimePoint{}) began_ = now;
@@ -13,15 +14,15 @@
   ArmTimer();
 }
 
-std::size_t Balancer::Brain::avoided() const {
+std::size_t Balancer::Impl::unavailable() const {
   return static_cast<std::size_t>(std::count_if(by_id_.begin(), by_id_.end(), [&](const auto& entry) {
     const Server& server = servers_[entry.second];
-    bool out = server.listed == Listed::kDraining || server.ejected;
-    return !server.origin && server.listed != Listed::kGone && out;
+    bool out = server.state == ServerState::kDraining || server.ejected;
+    return !server.origin && server.state != ServerState::kGone && out;
   }));
 }
 
-void Balancer::Brain::RunDue() {
+void Balancer::Impl::RunDue() {
   SubscribeIfDue();
   while (!paced_.empty() && paced_.begin()->first <= now_) {
     int index = paced_.extract(paced_.begin()).value().second;
@@ -36,26 +37,26 @@
   }
 }
 
-void Balancer::Brain::ArmTimer() {
+void Balancer::Impl::ArmTimer() {
   TimePoint next = due_.empty() ? TimePoint::max() : due_.top().first;
   next = std::min(next, subscribe_at_);
   if (!paced_.empty()) next = std::min(next, paced_.begin()->first);
   if (next >= armed_ || next == TimePoint::max()) return;
   armed_ = next;
-  out_->emplace_back(SetTimer{TimerMark{++mark_}, next - now_});
+  out_->emplace_back(SetTimer{TimerId{++mark_}, next - now_});
 }
 
 Balancer::Balancer(const Settings& settings, std::uint64_t seed)
-    : brain_(std::make_unique<Brain>(settings, seed)) {}
+    : impl_(std::make_unique<Impl>(settings, seed)) {}
 Balancer::~Balancer() = default;
 Balancer::Balancer(Balancer&&) noexcept = default;
 Balancer& Balancer::operator=(Balancer&&) noexcept = default;
 
-std::uint64_t Balancer::tables_built() const { return brain_->tables_built(); }
-std::size_t Balancer::avoided() const { return brain_->avoided(); }
-bool Balancer::origin_strained() const { return brain_->origin_strained(); }
+std::uint64_t Balancer::tables_built() const { return impl_->tables_built(); }
+std::size_t Balancer::unavailable() const { return impl_->unavailable(); }
+bool Balancer::origin_overloaded() const { return impl_->origin_overloaded(); }
 void Balancer::Handle(TimePoint now, const Event& event, std::vector<Action>& actions) {
-  brain_->Handle(now, event, actions);
+  impl_->Handle(now, event, actions);
 }
 
 }  // namespace peatbend
--- a/src/module/brain.h
+++ b/src/module/balancer_impl.h
@@ -38,15 +38,15 @@
 inline double Ns(Duration d) { return static_cast<double>(d.count()); }
 inline Duration Scale(Duration d, double by) { return Nanos(Ns(d) * by); }
 
-class Balancer::Brain {
+class Balancer::Impl {
  public:
-  Brain(const Settings& settings, std::uint64_t seed) : set_(settings), random_(Mix(seed)) {
+  Impl(const Settings& settings, std::uint64_t seed) : set_(settings), random_(Mix(seed)) {
     CheckSettings(set_);
   }
 
   std::uint64_t tables_built() const { return tables_built_; }
-  std::size_t avoided() const;
-  bool origin_strained() const {
+  std::size_t unavailable() const;
+  bool origin_overloaded() const {
     return origin_ >= 0 && (!servers_[origin_].queue.empty() || servers_[origin_].limit <= OriginLeast());
   }
   void Handle(TimePoint now, const Event& event, std::vector<Action>& actions);
@@ -73,7 +73,7 @@
   };
   struct Server {
     std::string id;
-    Listed listed = Listed::kGone;
+    ServerState state = ServerState::kGone;
     bool origin = false;
     int cell = 0, zone = 0;
     double weight = 1;
@@ -134,7 +134,7 @@
   void Forget() {
     std::erase_if(by_id_, [this](const auto& entry) {
       const Server& server = servers_[entry.second];
-      bool out = server.listed == Listed::kGone && server.in_flight == 0 && server.queue.empty();
+      bool out = server.state == ServerState::kGone && server.in_flight == 0 && server.queue.empty();
       if (out) free_.push_back(entry.second);
       return out;
     });
@@ -145,14 +145,16 @@
     if (now_ < subscribe_at_) return;
     out_->emplace_back(Subscribe{});
     asked_at_ = now_;
-    subscribe_at_ = set_.ask_every > Duration::zero() ? now_ + set_.ask_every : TimePoint::max();
+    subscribe_at_ =
+        set_.subscribe_interval > Duration::zero() ? now_ + set_.subscribe_interval : TimePoint::max();
   }
 
-  // ---- The Maglev table (table.cpp) --------------------------------------------------------------
+  // ---- The Maglev table (maglev_table.cpp) --------------------------------------------------------------
 
   void RefreshTable();
 
-  // ---- Choice (choice.cpp) -----------------------------------------------------------------------
+  // ---- Server selection (server_selection.cpp)
+  // -----------------------------------------------------------------------
 
   int Candidate(std::uint64_t hash, std::size_t n) const;
   double Heat(const Request& request, double count);
@@ -161,7 +163,7 @@
   double Rate() const { return std::max(0.05, taken_lately_.Now(now_, kRateTime) / Seen()); }
   double Seen() const { return std::min(Ns(kRateTime), Ns(now_ - began_) + 1e9) / 1e9; }
   // Whether this proxy is one of so many that it sees a server too seldom to judge it by its own.
-  bool Sparse() const { return set_.proxies > kFirstLimit; }
+  bool Sparse() const { return set_.routers > kFirstLimit; }
 
   // ---- Health, cold servers and in-flight bounds (health.cpp) ------------------------------------
 
@@ -175,9 +177,9 @@
   void Cut(Server& server, double by);
   void RefreshLatency(const Server& of);
   double Ready() const { return static_cast<double>(ready_.size()); }
-  double FirstLimit() const { return std::max(1.0, kFirstLimit / set_.proxies); }
-  double OriginLeast() const { return std::min(kOriginFewLeast, kOriginLeast / set_.proxies); }
-  double LeastLimit() const { return std::min(1.0, kLeastLimit / set_.proxies); }
+  double FirstLimit() const { return std::max(1.0, kFirstLimit / set_.routers); }
+  double OriginLeast() const { return std::min(kOriginFewLeast, kOriginLeast / set_.routers); }
+  double LeastLimit() const { return std::min(1.0, kLeastLimit / set_.routers); }
 
   // The part of its capacity that a cache server has for certain: the worst-case warm-up, a straight line
   // from the start capacity to warm_after. It is the same at every proxy. The origin has no warm-up.
@@ -194,7 +196,7 @@
 
   const Latency& ZoneOf(const Server& server) const { return zones_.at(server.zone); }
 
-  // ---- Requests held for a server (holding.cpp) --------------------------------------------------
+  // ---- Requests held for a server (queueing.cpp) --------------------------------------------------
 
   TimePoint HeldUntil(const Request& request, const Server& server) const;
   void Enqueue(Request& request, int index);
@@ -227,7 +229,7 @@
   void JoinFetch(Request& request, Waiting& waiting);
   void EndFetch(Request& request, bool came);
 
-  // ---- What may be sent and said (gate.cpp) ------------------------------------------------------
+  // ---- What may be sent and said (send_rules.cpp) ------------------------------------------------------
 
   void PruneAllowance();
   bool Allowed(const Request& request) const;
@@ -258,7 +260,7 @@
     at->second.streaming = true;
   }
 
-  void On(const GoneEvent& event) {
+  void On(const ClientGoneEvent& event) {
     auto at = requests_.find(event.id);
     if (at != requests_.end()) Drop(at->second, false);
   }
@@ -270,7 +272,7 @@
     return budget >= 1 && (budget -= 1, true);
   }
 
-  // ---- Time (balance.cpp) ------------------------------------------------------------------------
+  // ---- Time (balancer.cpp) ------------------------------------------------------------------------
 
   void RunDue();
   void ArmTimer();
@@ -281,14 +283,15 @@
 
   void TellTrial(Server& server, bool good) {
     server.asked = false;
-    if (set_.shared_trials) out_->emplace_back(Trial{ServerId{server.id}, good});
+    if (set_.shared_trials) out_->emplace_back(ReportTrial{ServerId{server.id}, good});
   }
   void Say(std::string text) { out_->emplace_back(Log{std::move(text)}); }
   std::uint64_t Random() { return random_ = Mix(random_); }
 
   Settings set_;
   std::uint64_t random_;
-  std::uint64_t place_ = set_.index < 0 ? Mix(~random_) : static_cast<std::uint64_t>(set_.index);
+  std::uint64_t place_ =
+      set_.router_index < 0 ? Mix(~random_) : static_cast<std::uint64_t>(set_.router_index);
   TimePoint now_{}, began_{};
   std::vector<Action>* out_ = nullptr;
 
--- a/src/module/health.cpp
+++ b/src/module/health.cpp
@@ -1,5 +1,5 @@
 // What is learnt of a server: health, cold servers (slow start), in-flight bounds.
-#include "module/brain.h"
+#include "module/balancer_impl.h"
 
 namespace peatbend {
 
@@ -22,10 +22,10 @@
 // Guards a cold server against hot keys: what all proxies send it stays near its part of what a warm server
 // answers, each proxy pacing its own share, and beginning with a drawn part of a send, for all of them may
 // have learned of the start at once. Nothing spills onto it (Candidate).
-double Balancer::Brain::ColdSends(const Server& server) const {
+double Balancer::Impl::ColdSends(const Server& server) const {
   double due = answered_.Now(now_, kRateTime) / Seen() / Ready();
-  double rate = due * Warmth(server) * kColdSlack * std::max(1.0, set_.fall_multiple) / 1e9;
-  double due_in_span = rate * Ns(set_.tip_after);
+  double rate = due * Warmth(server) * kColdSlack * std::max(1.0, set_.overload_multiple) / 1e9;
+  double due_in_span = rate * Ns(set_.overload_duration);
   double most = std::max(1.0, kColdDepth * due_in_span);
   double saved = std::min(most, rate * Ns(now_ - server.started));
   if (!ColdTurn(server, due_in_span, saved)) return 0;
@@ -34,15 +34,15 @@
 
 // Whether this proxy may send to a cold server yet. They begin one after another, in an order that each start
 // has anew, so that what all together may send it in a tipping time keeps to the rule.
-bool Balancer::Brain::ColdTurn(const Server& server, double due, double saved) const {
+bool Balancer::Impl::ColdTurn(const Server& server, double due, double saved) const {
   auto start = static_cast<std::uint64_t>(server.started.time_since_epoch().count());
-  auto turn = static_cast<int>((Mix(start) + place_) % static_cast<std::uint64_t>(set_.proxies)) + 1;
-  double all = due * set_.proxies / kColdSlack, root = std::sqrt(all);
+  auto turn = static_cast<int>((Mix(start) + place_) % static_cast<std::uint64_t>(set_.routers)) + 1;
+  double all = due * set_.routers / kColdSlack, root = std::sqrt(all);
   double most = all + std::max(2 * root + 2, std::min(3 * root + 3, kColdFewMore));
-  return (due + saved) * (turn - std::max(0, set_.proxies - kColdTurns)) <= most;
+  return (due + saved) * (turn - std::max(0, set_.routers - kColdTurns)) <= most;
 }
 
-void Balancer::Brain::Strike(Server& server, int strikes, bool trial) {
+void Balancer::Impl::Strike(Server& server, int strikes, bool trial) {
   server.strikes += strikes;
   if (server.origin) return;
   if (server.ejected ? trial : server.strikes >= kStrikesToEject && MayEject(kEjectShare))
@@ -51,12 +51,12 @@
 }
 
 // Whether one more may be out: if most look bad, the verdict is distrusted (panic threshold).
-bool Balancer::Brain::MayEject(double most) const {
+bool Balancer::Impl::MayEject(double most) const {
   auto out = [this](int index) { return servers_[index].ejected; };
   return static_cast<double>(std::count_if(ready_.begin(), ready_.end(), out) + 1) <= most * Ready();
 }
 
-void Balancer::Brain::Eject(Server& server) {
+void Balancer::Impl::Eject(Server& server) {
   if (!server.ejected) Say("ejected " + server.id);
   server.ejected = true;
   Duration out = kEjectFor * (1 << std::min(server.ejections, 6));
@@ -69,30 +69,31 @@
 // The fleet's word on a server. One that others get nothing from, or have brought back, is ejected here by
 // its first failure, until it answers here. A proxy that alone does not reach it tries for itself after a few
 // times of that.
-void Balancer::Brain::On(const TrialEvent& event) {
+void Balancer::Impl::On(const TrialEvent& event) {
   auto at = by_id_.find(event.server.name);
   if (at == by_id_.end() || servers_[at->second].origin) return;
   Server& server = servers_[at->second];
-  server.asked = event.word == TrialWord::kTry;
+  server.asked = event.directive == TrialDirective::kTry;
   if (server.asked) asked_ = at->second;
-  if (!server.ejected) server.strikes = event.word == TrialWord::kBack ? 0 : kStrikesToEject - 1;
-  server.ejected |= event.word == TrialWord::kOut && server.believed < kBelieved && MayEject(kWordShare);
+  if (!server.ejected) server.strikes = event.directive == TrialDirective::kReadmit ? 0 : kStrikesToEject - 1;
+  server.ejected |=
+      event.directive == TrialDirective::kEject && server.believed < kBelieved && MayEject(kWordShare);
   if (!server.ejected || server.believed >= kBelieved) return;
   server.trial_at = server.asked ? now_ : TimePoint::max();
-  if (event.word != TrialWord::kBack) return;
+  if (event.directive != TrialDirective::kReadmit) return;
   Say("recovered " + server.id + ", by the fleet's word");
   ++server.believed;
   server.ejected = server.trial_out = false;
   server.strikes = kStrikesToEject - 1;
 }
 
-void Balancer::Brain::Cut(Server& server, double by) {
+void Balancer::Impl::Cut(Server& server, double by) {
   if (now_ - server.cut < std::max(kCutApart, Nanos(server.latency))) return;
   server.cut = now_;
   server.limit = std::max(server.origin ? OriginLeast() : LeastLimit(), server.limit * by);
 }
 
-void Balancer::Brain::RefreshLatency(const Server& of) {
+void Balancer::Impl::RefreshLatency(const Server& of) {
   Latency& zone = zones_[of.zone];
   if (now_ - zone.at < kCutApart && zone.unloaded > 0) return;
   std::vector<double> all;
@@ -107,7 +108,7 @@
   zone.unloaded = zone.unloaded > 0 ? std::min(zone.unloaded * 1.001, zone.usual) : zone.usual;
 }
 
-void Balancer::Brain::Observe(Server& server, const OutcomeEvent& event) {
+void Balancer::Impl::Observe(Server& server, const OutcomeEvent& event) {
   bool was_full = server.in_flight + 1 >= server.limit;
   bool trial = std::exchange(server.trial_out, false);
   double elapsed = Ns(event.elapsed);
--- a/src/module/table.cpp
+++ b/src/module/maglev_table.cpp
@@ -1,5 +1,5 @@
 // The Maglev table: which server a key belongs to.
-#include "module/brain.h"
+#include "module/balancer_impl.h"
 
 namespace peatbend {
 
@@ -41,13 +41,13 @@
 
 // Rebuilt when the membership has changed and a request needs it. Not later, though a moment may bring many
 // changes: the place of a server that has gone may be another's by then.
-void Balancer::Brain::RefreshTable() {
+void Balancer::Impl::RefreshTable() {
   if (!stale_) return;
   stale_ = false;
   ready_.clear();
   origin_ = -1;
   for (const auto& [id, index] : by_id_) {  // sorted by id
-    if (servers_[index].listed != Listed::kReady) continue;
+    if (servers_[index].state != ServerState::kReady) continue;
     if (!servers_[index].origin) ready_.push_back(index);
     if (servers_[index].origin && origin_ < 0) origin_ = index;
   }
--- a/src/module/origin.cpp
+++ b/src/module/origin.cpp
@@ -1,5 +1,5 @@
 // The slow origin: its bound, and one fetch a key.
-#include "module/brain.h"
+#include "module/balancer_impl.h"
 
 namespace peatbend {
 
@@ -8,7 +8,7 @@
 constexpr int kOriginFirstAnswers = 4;
 constexpr double kOriginMost = 128, kOriginCalm = 1.7, kOriginCreep = 1.0005;
 
-void Balancer::Brain::ObserveOrigin(Server& origin, bool was_full) {
+void Balancer::Impl::ObserveOrigin(Server& origin, bool was_full) {
   // Of the first answers one may be far quicker than all that follow: a base of its own would leave the
   // origin looking overloaded, and its limit at the least, for good.
   bool first = origin.answers <= kOriginFirstAnswers;
@@ -24,7 +24,7 @@
 }
 
 // Sends to the origin, or holds until the key's fetch is back (single-flight) or the limit leaves room.
-void Balancer::Brain::AskOrigin(Request& request) {
+void Balancer::Impl::AskOrigin(Request& request) {
   RefreshTable();
   if (origin_ < 0 || !LegalSend(request, servers_[origin_])) return End(request);
   if (!request.write && request.key && !request.fetching) {
@@ -36,7 +36,7 @@
   Enqueue(request, origin_);
 }
 
-void Balancer::Brain::JoinFetch(Request& request, Waiting& waiting) {
+void Balancer::Impl::JoinFetch(Request& request, Waiting& waiting) {
   TimePoint latest = HeldUntil(request, servers_[origin_]);
   if (now_ >= latest) return End(request);
   waiting.push_back({request.deadline, request.id});
@@ -45,7 +45,7 @@
 }
 
 // A key's fetch has ended: those that wait read it from the cache or, if it did not come, fetch it.
-void Balancer::Brain::EndFetch(Request& request, bool came) {
+void Balancer::Impl::EndFetch(Request& request, bool came) {
   if (!std::exchange(request.fetching, false)) return;
   auto at = fetches_.find(*request.key);
   Waiting waiting = std::move(at->second);
--- a/src/module/holding.cpp
+++ b/src/module/queueing.cpp
@@ -1,5 +1,5 @@
 // Requests held for a server without room, and for how long.
-#include "module/brain.h"
+#include "module/balancer_impl.h"
 
 namespace peatbend {
 
@@ -8,7 +8,7 @@
 constexpr double kHoldUnsent = 0.47;  // of its time, what no server has seen is held at most
 
 // Until when a request may be held for a server, or for another's fetch from it.
-TimePoint Balancer::Brain::HeldUntil(const Request& request, const Server& server) const {
+TimePoint Balancer::Impl::HeldUntil(const Request& request, const Server& server) const {
   const ClassSettings& cls = set_.classes[request.cls];
   TimePoint latest = request.deadline - 2 * set_.tick;
   if (cls.late_share <= 0) latest = std::min(latest, request.arrived + Scale(cls.aim, kHoldMost));
@@ -22,7 +22,7 @@
 }
 
 // Holds a request for a server without room; the most worth goes first when there is some.
-void Balancer::Brain::Enqueue(Request& request, int index) {
+void Balancer::Impl::Enqueue(Request& request, int index) {
   TimePoint latest = HeldUntil(request, servers_[index]);
   if (now_ >= latest) return End(request);
   bool cache = !servers_[index].origin && !request.waited;
@@ -34,7 +34,7 @@
   PumpLater(index);
 }
 
-void Balancer::Brain::Pump(int index) {
+void Balancer::Impl::Pump(int index) {
   while (!servers_[index].queue.empty() && HasRoom(servers_[index])) {
     Request& request = requests_.at(std::get<3>(*servers_[index].queue.begin()));
     Unqueue(request);
@@ -45,7 +45,7 @@
   }
 }
 
-void Balancer::Brain::Requeue(Request& request) {
+void Balancer::Impl::Requeue(Request& request) {
   bool origin = request.held_for >= 0 && servers_[request.held_for].origin;
   Unqueue(request);
   if (origin) return End(request);
--- a/src/module/choice.cpp
+++ b/src/module/server_selection.cpp
@@ -1,5 +1,5 @@
 // Choice: the cache server that a request goes to, and how hot its key is.
-#include "module/brain.h"
+#include "module/balancer_impl.h"
 
 namespace peatbend {
 
@@ -15,7 +15,7 @@
 // The n-th server that a key may go to. The first is the one in its slot, the others follow by steps over
 // the slots. One that is starting and has not yet been handed the key is stepped over, so that nothing
 // spills onto it. The same at every proxy of a zone.
-int Balancer::Brain::Candidate(std::uint64_t hash, std::size_t n) const {
+int Balancer::Impl::Candidate(std::uint64_t hash, std::size_t n) const {
   std::uint64_t slot = hash % kTableSize, step = Mix(hash ^ 3) % (kTableSize - 1) + 1;
   double threshold = Unit(Mix(hash));
   for (std::size_t i = 0; i < kMaxProbes * kMaxCopies; ++i) {
@@ -28,7 +28,7 @@
 // The share of this proxy's late traffic that names the key, in average servers' shares. Counts
 // are kept for the heaviest keys only: one place a hash, which the heavier key wins. A proxy with
 // little traffic looks further back: there two sightings among thirty requests tell a hot key.
-double Balancer::Brain::Heat(const Request& request, double count) {
+double Balancer::Impl::Heat(const Request& request, double count) {
   if (!request.key || ready_.empty()) return 0;
   auto hash = static_cast<std::uint32_t>(Mix(static_cast<std::uint64_t>(*request.key)));
   auto& place = heat_[hash % heat_.size()];
@@ -45,9 +45,9 @@
 }
 
 // To a cache server, or held for its own one, or ended. The ordinary path is the loop's first turn.
-void Balancer::Brain::ToCache(Request& request) {
+void Balancer::Impl::ToCache(Request& request) {
   RefreshTable();
-  if (ready_.empty()) return set_.aside ? AskOrigin(request) : End(request);
+  if (ready_.empty()) return set_.cache_aside ? AskOrigin(request) : End(request);
   if (asked_ >= 0 && servers_[asked_].asked && Usable(request, asked_)) return SendTo(request, asked_);
   double heat = Heat(request, request.attempts.empty() && !request.waited ? 1 : 0);
   bool hot = heat > kHotShare;
@@ -75,10 +75,10 @@
   }
   if (best >= 0) return SendTo(request, best);
   if (hold_for >= 0) return Enqueue(request, hold_for);
-  set_.aside ? AskOrigin(request) : End(request);
+  set_.cache_aside ? AskOrigin(request) : End(request);
 }
 
-bool Balancer::Brain::Usable(const Request& request, int index) const {
+bool Balancer::Impl::Usable(const Request& request, int index) const {
   const Server& server = servers_[index];
   bool avoided = std::find(request.avoid.begin(), request.avoid.end(), index) != request.avoid.end();
   // Not ejected, or due for a half-open trial, which only a safe request may be.
--- a/src/module/settings.cpp
+++ b/src/module/settings.cpp
@@ -55,7 +55,7 @@
   if (field == "name") cls.name = text;
   if (field == "objective") cls.aim = Time(path, text);
   if (field == "deadline") cls.deadline = Time(path, text);
-  if (field == "window") cls.window = Time(path, text);
+  if (field == "window") cls.dedup_window = Time(path, text);
   if (field == "value") cls.worth = Real(path, text);
   if (field == "lateShare") cls.late_share = Real(path, text);
   if (field == "stream") cls.stream = Yes(path, text);
@@ -69,7 +69,9 @@
     }
   }
   if (field == "group") {
-    cls.group = text == "all" ? Group::kAll : text == "zone" ? Group::kZone : Group::kCell;
+    cls.dedup_group = text == "all"    ? DedupGroup::kAll
+                      : text == "zone" ? DedupGroup::kZone
+                                       : DedupGroup::kCell;
   }
 }
 
@@ -87,25 +89,25 @@
 
 void SetOther(Settings& s, std::string_view path, std::string_view text) {
   if (path == "discovery") s.must_subscribe = text == "subscribe";
-  if (path == "specifics.mode") s.aside = text == "aside";
+  if (path == "specifics.mode") s.cache_aside = text == "aside";
   if (path == "specifics.originKind") s.origin_kind = Setting<int>(path, text);
-  if (path == "replicasOfMe") s.proxies = Setting<int>(path, text);
-  if (path == "index") s.index = Setting<int>(path, text);
+  if (path == "replicasOfMe") s.routers = Setting<int>(path, text);
+  if (path == "index") s.router_index = Setting<int>(path, text);
   if (path == "locality") s.zone = Setting<int>(path, text);
   if (path == "overShareWorth") s.over_share_worth = Real(path, text);
   if (path == "countedBy") s.worth_by_work = text == "work";
   if (path == "ceilings.tryLimit") s.try_limit = Setting<int>(path, text);
   if (path == "ceilings.mayCancel") s.may_cancel = Yes(path, text);
-  if (path == "ceilings.secondCopies") s.second_copies = Yes(path, text);
-  if (path == "ceilings.retryAfter") s.retry_after = Yes(path, text);
+  if (path == "ceilings.secondCopies") s.concurrent_attempts = Yes(path, text);
+  if (path == "ceilings.retryAfter") s.may_send_retry_after = Yes(path, text);
   if (path == "ceilings.maxRetryAfter") s.max_retry_after = Time(path, text);
   if (path == "rules.graceToAnswer") s.answer_grace = Time(path, text);
-  if (path == "rules.askEvery") s.ask_every = Time(path, text);
+  if (path == "rules.askEvery") s.subscribe_interval = Time(path, text);
   if (path == "rules.startCapacity") s.start_capacity = Real(path, text);
   if (path == "rules.warmAfter") s.warm_after = Time(path, text);
   if (path == "rules.drainGrace") s.drain_grace = Time(path, text);
-  if (path == "rules.fallMultiple") s.fall_multiple = Real(path, text);
-  if (path == "rules.tipAfter") s.tip_after = Time(path, text);
+  if (path == "rules.fallMultiple") s.overload_multiple = Real(path, text);
+  if (path == "rules.tipAfter") s.overload_duration = Time(path, text);
   if (path == "rules.countedOver") s.attempt_window = Time(path, text);
   if (path == "rules.freeResends") s.free_resends = Real(path, text);
   if (path == "rules.extraPerRequest") s.extra_per_request = Real(path, text);
@@ -157,7 +159,7 @@
   constexpr Duration kNone{};
   require(!s.classes.empty(), "classes");
   for (const ClassSettings& cls : s.classes) {
-    require(cls.deadline > kNone && cls.aim >= kNone && cls.window >= kNone && cls.worth >= 0,
+    require(cls.deadline > kNone && cls.aim >= kNone && cls.dedup_window >= kNone && cls.worth >= 0,
             "classes: deadline, aim, window or worth");
   }
   for (const TenantSettings& tenant : s.tenants) {
@@ -168,10 +170,11 @@
   require(s.extra_per_request.value_or(0) >= 0, "extra_per_request");
   require(s.attempt_window.has_value() == (s.free_resends || s.extra_per_request),
           "attempt_window without free_resends or extra_per_request, or these without it");
-  require(s.proxies >= 1 && s.try_limit >= 1, "proxies or try_limit");
+  require(s.routers >= 1 && s.try_limit >= 1, "proxies or try_limit");
   require(s.start_capacity > 0 && s.start_capacity <= 1, "start_capacity");
-  require(std::min({s.warm_after, s.tip_after, s.ask_every, s.answer_grace, s.tick}) >= kNone,
-          "warm_after, tip_after, ask_every, answer_grace or tick");
+  require(
+      std::min({s.warm_after, s.overload_duration, s.subscribe_interval, s.answer_grace, s.tick}) >= kNone,
+      "warm_after, tip_after, ask_every, answer_grace or tick");
 }
 
 }  // namespace peatbend
--- a/src/router/figures.cpp
+++ b/src/router/figures.cpp
@@ -36,10 +36,10 @@
   add("dispatches", counters_.dispatches);
   add("concurrent", decision_.open());
   auto cached = [this](const auto& one) {
-    return !running_.settings.aside || one.second.entry.kind != running_.settings.origin_kind;
+    return !running_.settings.cache_aside || one.second.entry.kind != running_.settings.origin_kind;
   };
   add("targets", static_cast<std::uint64_t>(std::ranges::count_if(discovery_watch_.held(), cached)));
-  add("targets_disabled", decision_.balancer().avoided());
+  add("targets_disabled", decision_.balancer().unavailable());
   auto part = [&add](const std::string& prefix, auto& of) {
     if (!of) return;
     for (const auto& [name, value] : of->Figures()) add(prefix + name, value);
--- a/src/router/overload_office.cpp
+++ b/src/router/overload_office.cpp
@@ -68,8 +68,8 @@
   double rank = order_.Of(asked);
   if (rationing != nullptr && rank >= cut_.standing().CutOf(request.tenant)) {
     rationing->Judge(request, event);
-    if (event.allowance == Allowance::kReject) return 0;
-    asked.over_ration = event.allowance == Allowance::kLower;
+    if (event.quota_verdict == QuotaVerdict::kReject) return 0;
+    asked.over_ration = event.quota_verdict == QuotaVerdict::kDeprioritize;
     if (asked.over_ration) rank = order_.Of(asked);
   }
   std::uint64_t work = order_.WorkOf(asked);
@@ -77,8 +77,8 @@
   if (!verdict.shed) return work;
   ++shed_;
   if (asked.over_ration) ++shed_over_ration_;
-  event.allowance = Allowance::kReject;
-  event.come_back = verdict.come_back;
+  event.quota_verdict = QuotaVerdict::kReject;
+  event.retry_after = verdict.come_back;
   return 0;
 }
 
@@ -195,10 +195,10 @@
   if (scope != Scope::kDelta) members_.clear();
   for (const ServerEntry& entry : entries) {
     std::uint32_t id = overload::Trials::IdOfMember(entry.id.name);
-    bool origin = settings_.aside && entry.kind == settings_.origin_kind;
+    bool origin = settings_.cache_aside && entry.kind == settings_.origin_kind;
     members_.erase(id);
-    if (origin || entry.listed == Listed::kGone) continue;
-    Listing& now = members_[id] = {entry.id.name, entry.started, entry.listed == Listed::kReady};
+    if (origin || entry.state == ServerState::kGone) continue;
+    Listing& now = members_[id] = {entry.id.name, entry.started, entry.state == ServerState::kReady};
     auto at = before.find(id);
     if (at != before.end()) now.started = std::max(now.started, at->second.started);
     if (!now.ready || (at != before.end() && at->second == now)) continue;
@@ -207,11 +207,11 @@
     trials_.Anew(now.name);
     out_.erase(now.name);
     if (before.empty()) {
-      decision_.Say({entry.id, TrialWord::kBack});
+      decision_.Say({entry.id, TrialDirective::kReadmit});
       continue;
     }
     IsBack(now.name, std::to_string(now.started.time_since_epoch().count()), {});
-    if (returns_.Holds(now.name)) decision_.Say({entry.id, TrialWord::kOut});
+    if (returns_.Holds(now.name)) decision_.Say({entry.id, TrialDirective::kEject});
   }
   for (const auto& [id, listing] : before) {
     if (members_.contains(id)) continue;
@@ -221,16 +221,16 @@
   }
 }
 
-void OverloadOffice::Tried(const Trial& trial) {
+void OverloadOffice::Tried(const ReportTrial& trial) {
   const std::string& name = trial.server.name;
   overload::Time now = peers::Peers::Now();
   auto at = out_.find(name);
   bool own = at != out_.end() && std::exchange(at->second.own, false);
   returns_.Drop(name);
-  if (trial.good || own) {
-    trials_.Ended(now, name, trial.good);
+  if (trial.healthy || own) {
+    trials_.Ended(now, name, trial.healthy);
   } else if (!trials_.Failed(now, name)) {  // it is not kept: the module tries for itself
-    return decision_.Say({trial.server, TrialWord::kBack});
+    return decision_.Say({trial.server, TrialDirective::kReadmit});
   }
   if (!trials_.Out(name)) {
     out_.erase(name);
@@ -251,20 +251,20 @@
     // A young router may have missed that it was out, and take one that has begun anew for a warm one.
     out_.erase(name);
     IsBack(name, std::to_string(news.epoch), young ? kYoung : now - since.value_or(now));
-    if (young && returns_.Holds(name)) decision_.Say({ServerId{name}, TrialWord::kOut});
+    if (young && returns_.Holds(name)) decision_.Say({ServerId{name}, TrialDirective::kEject});
     return;
   }
   if (!trials_.Out(name)) return;
   Turn& turn = out_[name];
   if (step) {
     returns_.Drop(name);
-    if (!turn.own) decision_.Say({ServerId{name}, TrialWord::kWait});
+    if (!turn.own) decision_.Say({ServerId{name}, TrialDirective::kWait});
   }
   // Two others get nothing from it, or one where this router knows little, and nothing has come here either.
   bool now_out = (!by_two && trials_.OutByTwo(name)) || (young && !since);
   if (!now_out || turn.answered || turn.own) return;
   ++by_word_;
-  decision_.Say({ServerId{name}, TrialWord::kOut});
+  decision_.Say({ServerId{name}, TrialDirective::kEject});
 }
 
 // Not dialled by all at one moment, nor given its whole load before discovery may have said that it is cold.
@@ -279,7 +279,7 @@
 
 void OverloadOffice::BringBack(const std::string& member) {
   ++brought_back_;
-  decision_.Say({ServerId{member}, TrialWord::kBack});
+  decision_.Say({ServerId{member}, TrialDirective::kReadmit});
 }
 
 void OverloadOffice::TryMembers() {
@@ -292,12 +292,12 @@
       turn.own = true;
       turn.sent = false;
       turn.since = now;
-      decision_.Say({ServerId{name}, TrialWord::kTry});
+      decision_.Say({ServerId{name}, TrialDirective::kTry});
     } else if (turn.own && !turn.sent && now - turn.since >= kTurnFor) {
       turn.own = false;
       ++passed_;
       trials_.Passed(now, name);
-      decision_.Say({ServerId{name}, TrialWord::kWait});
+      decision_.Say({ServerId{name}, TrialDirective::kWait});
     }
   }
 }
--- a/src/router/overload_office.h
+++ b/src/router/overload_office.h
@@ -35,7 +35,7 @@
   void Answered(std::string_view server, int cls, Duration elapsed, const LoadReport& load) override;
   void Sending(std::string_view server) override;
   void ServerListChanged(Scope scope, const std::vector<ServerEntry>& entries) override;
-  void Tried(const Trial& trial) override;
+  void Tried(const ReportTrial& trial) override;
 
   // The program's figures of it, names without a prefix.
   std::vector<std::pair<std::string, std::uint64_t>> Figures() const;
--- a/src/router/ration_office.cpp
+++ b/src/router/ration_office.cpp
@@ -60,7 +60,7 @@
   rations::OfficeOptions options;
   options.sits = Sits(config);
   const Tuning::Quota& times = config.tuning.rations;
-  options.purse.routers = std::max(1, config.settings.proxies);
+  options.purse.routers = std::max(1, config.settings.routers);
   options.purse.draw_every = times.draw;
   options.purse.again_every = times.again;
   options.purse.alone_after = times.alone_after;
@@ -128,8 +128,9 @@
   asked.key = request.key;
   rations::Verdict verdict = office_.Take(peers::Peers::Now(), asked);
   if (!verdict.within && verdict.over != rations::Over::kCountOnly) {
-    event.allowance = verdict.over == rations::Over::kReject ? Allowance::kReject : Allowance::kLower;
-    event.come_back = verdict.come_back;
+    event.quota_verdict =
+        verdict.over == rations::Over::kReject ? QuotaVerdict::kReject : QuotaVerdict::kDeprioritize;
+    event.retry_after = verdict.come_back;
   }
   // A request changes nothing but what the purse has to ask.
   auto due = office_.purse().NextDue();
@@ -165,7 +166,7 @@
 
 unsigned RationOffice::Signs() const {
   unsigned signs = rations::kNoSign;
-  if (decision_.balancer().origin_strained()) signs |= rations::kOriginStrained;
+  if (decision_.balancer().origin_overloaded()) signs |= rations::kOriginStrained;
   if (std::ranges::any_of(
           zones_, [this](const std::string& zone) { return peers_ != nullptr && peers_->ZoneGone(zone); }))
     signs |= rations::kZoneLost;
--- a/src/router/schema_office.cpp
+++ b/src/router/schema_office.cpp
@@ -128,10 +128,10 @@
 
 void SchemaOffice::Reject(Word word, RequestEvent& event) const {
   bool soon = word == Word::kUnknown || word == Word::kBring || word == Word::kJoining || word == Word::kBusy;
-  event.allowance = Allowance::kReject;
-  event.come_back = soon                         ? Duration(kSoon)
-                    : word == Word::kNotAccepted ? Duration(kLater)
-                                                 : settings_.max_retry_after;
+  event.quota_verdict = QuotaVerdict::kReject;
+  event.retry_after = soon                         ? Duration(kSoon)
+                      : word == Word::kNotAccepted ? Duration(kLater)
+                                                   : settings_.max_retry_after;
 }
 
 void SchemaOffice::Join(int place, const compat::Statement& statement) {
--- a/src/stage/decision.cpp
+++ b/src/stage/decision.cpp
@@ -141,7 +141,7 @@
   bool first = news.scope != Scope::kFailed && !news.entries.empty() && !std::exchange(ready_, true);
   if (first && on_ready_) on_ready_();
   for (const ServerEntry& entry : news.entries) {
-    if (settings_.aside && entry.kind == settings_.origin_kind) origins_.insert(entry.id.name);
+    if (settings_.cache_aside && entry.kind == settings_.origin_kind) origins_.insert(entry.id.name);
   }
   if (watching_ != nullptr) watching_->ServerListChanged(news.scope, news.entries);
   Ask(MembershipEvent{news.scope, news.entries});
@@ -159,7 +159,7 @@
   event.retry = request.retry;
   event.remaining = std::max(Duration::zero(), transaction->deadline() - clock_.Now());
   if (publishing_ != nullptr) publishing_->Judge(request, event);
-  if (event.allowance == Allowance::kReject) {
+  if (event.quota_verdict == QuotaVerdict::kReject) {
     // Its payload may not pass: it is no load that came, and takes nothing of a ration.
   } else if (watching_ != nullptr) {
     transaction->work = watching_->Judge(request, rationing_, event);
@@ -167,7 +167,7 @@
     rationing_->Judge(request, event);
   }
   // What is over its ration, or shed, is rejected before anything of it is recorded.
-  bool recorded = event.allowance != Allowance::kReject;
+  bool recorded = event.quota_verdict != QuotaVerdict::kReject;
   if (recorded && keeping_ != nullptr && keeping_->Tracks(request)) {
     transaction->tracked = true;
     keeping_->Opened(taken.id, request, event.remaining);
@@ -177,7 +177,7 @@
 }
 
 void Decision::On(Left& left) {
-  Ask(GoneEvent{left.id});
+  Ask(ClientGoneEvent{left.id});
   Transaction* transaction = Find(left.id);
   if (transaction != nullptr && transaction->left_at() >= 0) {  // nobody takes the rest of the value
     auto& flow = transaction->flows()[static_cast<std::size_t>(transaction->left_at())];
@@ -214,7 +214,7 @@
   event.attempt = ended.attempt;
   event.server = ended.member;
   event.result = ended.reply.result;
-  event.note = ended.reply.note;
+  event.cache_status = ended.reply.note;
   event.elapsed = ended.elapsed;
   event.done = transaction == nullptr || transaction->finished() || transaction->ending;
   event.load = ended.reply.load;
--- a/src/stage/decision.h
+++ b/src/stage/decision.h
@@ -4,7 +4,7 @@
 // The shop's words here and the module's there:
 //   server list   MembershipEvent, ServerEntry      transaction       RequestEvent, RequestId
 //   pool member   Server                            server-side flow  Send, attempt, OutcomeEvent
-//   reject        Refuse
+//   reject        Reject
 #pragma once
 
 #include <deque>
@@ -94,7 +94,7 @@
     int attempt;
   };
   struct Due {
-    TimerMark mark;
+    TimerId mark;
   };
   struct Permit {
     RequestId id;
@@ -120,14 +120,14 @@
   void On(TrialEvent& word);
   void Ask(const Event& event);
   void Do(const Send& send);
-  void Do(const Refuse& refuse);
+  void Do(const Reject& reject);
   void Do(const Fail& fail);
   void Do(const Cancel& cancel);
   void Do(const SetTimer& timer);
   void Do(const Subscribe&);
-  void Do(const Release& release);
+  void Do(const CloseIdleConnections& release);
   void Do(const peatbend::Log& line);
-  void Do(const Trial& trial);
+  void Do(const ReportTrial& trial);
   void Start(Transaction& transaction, int attempt, Duration give_up_after, TimePoint begin_by);
   // The module is told so.
   void NeverSent(RequestId id, int attempt, const std::string& member);
@@ -164,7 +164,7 @@
   std::unordered_map<std::string_view, RequestId> open_ids_;
   std::deque<Pending> pending_;
   std::vector<Action> actions_;
-  using TimerEntry = std::pair<TimePoint, TimerMark>;
+  using TimerEntry = std::pair<TimePoint, TimerId>;
   std::priority_queue<TimerEntry, std::vector<TimerEntry>, std::greater<>> timers_;
   Timer drain_, timer_;
 };
--- a/src/stage/decision_actions.cpp
+++ b/src/stage/decision_actions.cpp
@@ -41,9 +41,9 @@
   Post(Ended{id, attempt, member, std::move(never), {}});
 }
 
-void Decision::Do(const Refuse& refuse) {
-  Transaction* transaction = Find(refuse.id);
-  if (transaction != nullptr) End(*transaction, OperationOutcome::kRejected, refuse.backoff);
+void Decision::Do(const Reject& reject) {
+  Transaction* transaction = Find(reject.id);
+  if (transaction != nullptr) End(*transaction, OperationOutcome::kRejected, reject.backoff);
 }
 
 void Decision::Do(const Fail& fail) {
@@ -84,15 +84,15 @@
   if (ServerSideFlow* flow = transaction->flows()[attempt].get()) flow->Cancel();
 }
 
-void Decision::Do(const SetTimer& timer) { timers_.emplace(clock_.Now() + timer.in, timer.mark); }
+void Decision::Do(const SetTimer& timer) { timers_.emplace(clock_.Now() + timer.delay, timer.id); }
 
 void Decision::Do(const Subscribe&) { watch_discovery_(); }
 
-void Decision::Do(const Release& release) { connections_.CloseIdle(release.server.name); }
+void Decision::Do(const CloseIdleConnections& release) { connections_.CloseIdle(release.server.name); }
 
 void Decision::Do(const peatbend::Log& line) { log_.Line("module", line.text); }
 
-void Decision::Do(const Trial& trial) {
+void Decision::Do(const ReportTrial& trial) {
   if (watching_ != nullptr) watching_->Tried(trial);
 }
 
--- a/src/stage/watching.h
+++ b/src/stage/watching.h
@@ -25,7 +25,7 @@
   // An attempt is about to go there.
   virtual void Sending(std::string_view server) = 0;
   // What the module tells of an ejected member, or of its trial.
-  virtual void Tried(const Trial& trial) = 0;
+  virtual void Tried(const ReportTrial& trial) = 0;
   // Of an attempt that brought a value.
   virtual void Answered(std::string_view server, int cls, Duration elapsed, const LoadReport& load) = 0;
 };
--- a/tests/cold_server_test.cpp
+++ b/tests/cold_server_test.cpp
@@ -18,7 +18,7 @@
 const std::string kCold = "cache-15";
 
 struct Load {
-  int proxies = 3;
+  int routers = 3;
   double capacity = 12;  // requests a second that a warm server can take
   double use = 0.7;      // of the capacity of all of them
   double start_capacity = 0.14;
@@ -33,8 +33,8 @@
 
 Settings TierSettings(const Load& load, int index) {
   Settings settings = BasicSettings();
-  settings.proxies = load.proxies;
-  settings.index = index;
+  settings.routers = load.routers;
+  settings.router_index = index;
   settings.start_capacity = load.start_capacity;
   settings.warm_after = load.warm_after;
   return settings;
@@ -44,7 +44,7 @@
  public:
   explicit Tier(const Load& load) : load_(load), random_(71) {
     list_ = Fleet(kServers);
-    for (int index = 0; index < load.proxies; ++index) StartProxy(index);
+    for (int index = 0; index < load.routers; ++index) StartProxy(index);
     for (std::uint64_t key = 1; key < 5000; ++key) {  // as a warm server gets them
       Proxy& probe = proxies_.front()->proxy;
       bool its = SentTo(probe.Ask(++id_, key)) == kCold;
@@ -52,7 +52,7 @@
       (its ? keys_ : others_).push_back(key);
     }
     proxies_.clear();
-    for (int index = 0; index < load.proxies; ++index) StartProxy(index);
+    for (int index = 0; index < load.routers; ++index) StartProxy(index);
   }
 
   // Plays from a time before the server's start to the end of its warm-up.
@@ -62,7 +62,7 @@
       if (now_ == kRestarted) RestartServer(kRestarted);
       if (load_.restart_twice && now_ == kRestarted + 3s) RestartServer(now_);
       if (load_.restart_all && now_ == Burst() + 100ms) {
-        for (int index = 0; index < load_.proxies; ++index) StartProxy(index);
+        for (int index = 0; index < load_.routers; ++index) StartProxy(index);
       }
       bool burst = now_ >= Burst() && now_ < Burst() + 2s && (now_ - Burst()) % 100ms == 0ms;
       if (burst) AskAllForItsKeys();
@@ -75,9 +75,9 @@
   double WorstExcess() const {
     double worst = -1e9;
     for (std::size_t last = 0, first = 0; last < sent_.size(); ++last) {
-      while (sent_[first] <= sent_[last] - TierSettings(load_, 0).tip_after) ++first;
+      while (sent_[first] <= sent_[last] - TierSettings(load_, 0).overload_duration) ++first;
       double count = static_cast<double>(last - first + 1);
-      worst = std::max(worst, count - Bound(sent_[last] - TierSettings(load_, 0).tip_after / 2));
+      worst = std::max(worst, count - Bound(sent_[last] - TierSettings(load_, 0).overload_duration / 2));
     }
     return worst;
   }
@@ -145,7 +145,7 @@
         if (send->server.name == kCold && started_ != TimePoint{}) sent_.push_back(now_);
         if (send->server.name == kCold && counted_) ++served_;
       } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
-        one.bells.push(now_ + std::max(timer->in, Duration(kStep)));
+        one.bells.push(now_ + std::max(timer->delay, Duration(kStep)));
       }
     }
   }
@@ -166,9 +166,9 @@
   double RateOf(int index) const {
     double all = load_.use * load_.capacity * kServers;
     if (load_.idle_before && now_ < Burst()) all *= 0.02;
-    if (!load_.uneven) return all / load_.proxies;
-    int busy = std::max(1, load_.proxies / 5);
-    return index < busy ? all / 2 / busy : all / 2 / (load_.proxies - busy);
+    if (!load_.uneven) return all / load_.routers;
+    int busy = std::max(1, load_.routers / 5);
+    return index < busy ? all / 2 / busy : all / 2 / (load_.routers - busy);
   }
 
   void Step(One& one) {
@@ -215,7 +215,7 @@
 };
 
 std::string Text(const Load& load) {
-  return std::to_string(load.proxies) + " proxies, " + std::to_string(load.capacity) + "/s at use " +
+  return std::to_string(load.routers) + " proxies, " + std::to_string(load.capacity) + "/s at use " +
          std::to_string(load.use) + ", from " + std::to_string(load.start_capacity) + ", burst after " +
          std::to_string(load.burst_after / 1ms) + " ms, warm after " + std::to_string(load.warm_after / 1s) +
          (load.uneven ? ", uneven" : "") + (load.idle_before ? ", idle before" : "") +
@@ -225,13 +225,13 @@
 }
 
 // N at the start is 8, 15 and 40; the longer the warm-up, the more may be saved up while N is small.
-std::vector<Load> Sizes(int proxies) {
+std::vector<Load> Sizes(int routers) {
   using WarmAndBurst = std::pair<Duration, Duration>;
   std::vector<Load> loads;
   for (double capacity : {10.0, 18.0, 48.0}) {
     for (auto [warm, burst] : {WarmAndBurst(24s, 100ms), {24s, 6s}, {90s, 8s}, {300s, 20s}}) {
       Load load;
-      load.proxies = proxies;
+      load.routers = routers;
       load.capacity = capacity;
       load.warm_after = warm;
       load.burst_after = burst;
@@ -307,7 +307,7 @@
 TEST_P(ColdFleet, ItGetsItsPart) {
   for (double capacity : {12.0, 48.0}) {
     Load load;
-    load.proxies = GetParam();
+    load.routers = GetParam();
     load.capacity = capacity;
     load.burst_after = 60s;
     Tier tier(load);
--- a/tests/failover/failover_simulation.h
+++ b/tests/failover/failover_simulation.h
@@ -84,7 +84,7 @@
   void Ask(Effect effect) {
     Operation operation;
     operation.cls.effect = effect;
-    operation.cls.window = kWindow;
+    operation.cls.dedup_window = kWindow;
     operation.at = now();
     operation.left = now() + kDeadline;
     operation.id = fmt::format("w{}", operations_.size());
--- a/tests/balance_failures_test.cpp
+++ b/tests/failure_handling_test.cpp
@@ -12,7 +12,7 @@
     proxy.Ask(1, 5, kUnsafeWrite);
     auto after = proxy.Answer(1, result);
     EXPECT_TRUE(Only<Send>(after).empty());
-    EXPECT_TRUE(Only<Refuse>(after).empty());
+    EXPECT_TRUE(Only<Reject>(after).empty());
     EXPECT_EQ(Only<Fail>(after).size(), 1u);
   }
 }
@@ -37,7 +37,7 @@
   proxy.now += 295ms;  // the window counts from the first send and ends within a tick
   auto after = proxy.Answer(1, Result::kReset);
   EXPECT_TRUE(Only<Send>(after).empty());
-  EXPECT_EQ(Only<Refuse>(after).size(), 1u);  // true: every server drops its repeats
+  EXPECT_EQ(Only<Reject>(after).size(), 1u);  // true: every server drops its repeats
 }
 
 Duration BeginsWithin(const std::vector<Action>& actions) {
@@ -69,7 +69,7 @@
 
 TEST(Effects, NoAttemptMayBeginAfterItsClientsTime) {
   Settings settings = BasicSettings();
-  settings.classes[kKeyedWrite].window = 5s;
+  settings.classes[kKeyedWrite].dedup_window = 5s;
   Proxy proxy(settings);
   proxy.List(Fleet(3));
   EXPECT_EQ(BeginsWithin(proxy.Ask(1, 5, kRead, 300ms)), 300ms);
@@ -83,8 +83,8 @@
 
 TEST(Effects, AKeyedRequestStaysInItsZoneAndIsNotRefusedOnceItMayHaveRun) {
   Settings settings = BasicSettings();
-  settings.aside = false;
-  settings.classes[kKeyedWrite].group = Group::kZone;
+  settings.cache_aside = false;
+  settings.classes[kKeyedWrite].dedup_group = DedupGroup::kZone;
   Proxy proxy(settings);
   auto list = Fleet(4);
   for (std::size_t i = 0; i < list.size(); ++i) list[i].zone = static_cast<int>(i);
@@ -92,7 +92,7 @@
   proxy.Ask(1, 5, kKeyedWrite);
   auto after = proxy.Answer(1, Result::kReset);  // no other server in that zone
   EXPECT_TRUE(Only<Send>(after).empty());
-  EXPECT_TRUE(Only<Refuse>(after).empty());
+  EXPECT_TRUE(Only<Reject>(after).empty());
   EXPECT_EQ(Only<Fail>(after).size(), 1u);
 }
 
@@ -125,7 +125,7 @@
     proxy.now += id < 100 ? 20ms : 5ms;
     id < 100 ? proxy.Answer(id, Result::kGood, 20ms) : proxy.Answer(id, Result::kLate, 5ms);
   }
-  EXPECT_EQ(proxy.balancer.avoided(), 0u);
+  EXPECT_EQ(proxy.balancer.unavailable(), 0u);
   for (const Action& action : proxy.all) EXPECT_EQ(std::get_if<Log>(&action), nullptr);
 }
 
@@ -256,7 +256,7 @@
   return again;
 }
 
-TEST(Allowance, TheLastAllowedAttemptIsSentAndOneTooManyIsNot) {
+TEST(QuotaVerdict, TheLastAllowedAttemptIsSentAndOneTooManyIsNot) {
   Proxy proxy(Rationed(1, 0.25));
   proxy.List(Fleet(12));
   EXPECT_TRUE(SentAgain(proxy, 1));   // 1 <= 1 + 0.25
@@ -266,7 +266,7 @@
   EXPECT_FALSE(SentAgain(proxy, 5));
 }
 
-TEST(Allowance, TheWindowSlidesExactly) {
+TEST(QuotaVerdict, TheWindowSlidesExactly) {
   Proxy proxy(Rationed(1, 0));
   proxy.List(Fleet(12));
   EXPECT_TRUE(SentAgain(proxy, 1));
@@ -276,7 +276,7 @@
   EXPECT_TRUE(SentAgain(proxy, 3));
 }
 
-TEST(Allowance, RequestsTakenLeaveTheWindowToo) {
+TEST(QuotaVerdict, RequestsTakenLeaveTheWindowToo) {
   Proxy proxy(Rationed(0, 0.25));
   proxy.List(Fleet(12));
   for (unsigned id = 1; id <= 3; ++id) {
@@ -290,7 +290,7 @@
   EXPECT_TRUE(SentAgain(proxy, 7));  // 1 <= 0.25 x 4
 }
 
-TEST(Allowance, AMissFreesOneFurtherSendOfItsRequest) {
+TEST(QuotaVerdict, AMissFreesOneFurtherSendOfItsRequest) {
   Proxy proxy(Rationed(0, 0));
   proxy.List(Fleet(12));
   proxy.Ask(1, 1);
@@ -298,7 +298,7 @@
   EXPECT_EQ(SentTo(proxy.Answer(1, Result::kNoConn)), "");  // that one was used up
 }
 
-TEST(Allowance, WhatWasNeverSentDoesNotCount) {
+TEST(QuotaVerdict, WhatWasNeverSentDoesNotCount) {
   Proxy proxy(Rationed(1, 0));
   proxy.List(Fleet(12));
   proxy.Ask(1, 1);
@@ -307,7 +307,7 @@
   EXPECT_FALSE(SentAgain(proxy, 2));
 }
 
-TEST(Allowance, WithoutItsSettingsThereIsNone) {
+TEST(QuotaVerdict, WithoutItsSettingsThereIsNone) {
   Proxy proxy;
   proxy.List(Fleet(12));
   for (unsigned id = 1; id < 8; ++id) EXPECT_TRUE(SentAgain(proxy, id));
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -23,25 +23,25 @@
     cls.deadline = 1s;
   }
   s.classes[kKeyedWrite].effect = Effect::kKeyed;
-  s.classes[kKeyedWrite].window = 400ms;
+  s.classes[kKeyedWrite].dedup_window = 400ms;
   s.classes[kUnsafeWrite].effect = Effect::kUnsafe;
-  s.aside = true;
+  s.cache_aside = true;
   s.origin_kind = 1;
   s.try_limit = 4;
   s.start_capacity = 0.2;
   s.warm_after = 10s;
   s.drain_grace = 500ms;
-  s.fall_multiple = 3;
-  s.tip_after = 2s;
+  s.overload_multiple = 3;
+  s.overload_duration = 2s;
   s.tick = 5ms;
   s.answer_grace = 20ms;
   return s;
 }
 
-inline ServerEntry Entry(const std::string& name, Listed listed = Listed::kReady) {
+inline ServerEntry Entry(const std::string& name, ServerState state = ServerState::kReady) {
   ServerEntry entry;
   entry.id = {name};
-  entry.listed = listed;
+  entry.state = state;
   entry.kind = name == "origin" ? 1 : 0;
   return entry;
 }
@@ -112,9 +112,9 @@
 }
 
 // Settings of one proxy among many.
-inline Settings ManyProxies(int proxies = 500) {
+inline Settings ManyProxies(int routers = 500) {
   Settings s = BasicSettings();
-  s.proxies = proxies;
+  s.routers = routers;
   return s;
 }
 
--- a/tests/net/config_test.cpp
+++ b/tests/net/config_test.cpp
@@ -50,12 +50,12 @@
   CHECK(config.name == "r1");
   CHECK(config.sockets == 300);
   CHECK(config.tuning.clients.idle == Milliseconds(700));
-  CHECK(config.settings.proxies == 4);
+  CHECK(config.settings.routers == 4);
   CHECK(config.settings.zones == std::vector<std::string>{"a", "b"});
   REQUIRE(config.settings.classes.size() == 2);
   CHECK(config.settings.classes[0].aim == Milliseconds(500));
   CHECK(config.settings.classes[1].deadline == Milliseconds(1200));
-  CHECK(config.settings.classes[1].window == Milliseconds(1500));
+  CHECK(config.settings.classes[1].dedup_window == Milliseconds(1500));
   config = ReadConfig({.json = R"({"name":"p1","limits":{"sockets":99},
       "settings":{"classes":[{"name":"only","deadline":1000000000}]}})",
                        .toml = kSound},
--- a/tests/net/parsers_test.cpp
+++ b/tests/net/parsers_test.cpp
@@ -273,7 +273,7 @@
   CHECK(list.index == 41);
   CHECK(list.snapshot);
   REQUIRE(list.entries.size() == 2);
-  CHECK(list.entries[0].entry.listed == Listed::kDraining);
+  CHECK(list.entries[0].entry.state == ServerState::kDraining);
   CHECK(list.entries[0].entry.zone == 1);
   CHECK(list.entries[0].entry.kind == 1);
   CHECK(list.entries[0].entry.started.time_since_epoch() == std::chrono::milliseconds(1764583200123));
--- a/tests/net/schema_office_test.cpp
+++ b/tests/net/schema_office_test.cpp
@@ -78,7 +78,9 @@
     office->Judge(request, event);
     return event;
   }
-  Allowance Of(bool write, const std::string& facts, int cls = 1) { return Ask(write, facts, cls).allowance; }
+  QuotaVerdict Of(bool write, const std::string& facts, int cls = 1) {
+    return Ask(write, facts, cls).quota_verdict;
+  }
   std::uint64_t Figure(const std::string& name) {
     for (const auto& [each, value] : office->Figures())
       if (each == name) return value;
@@ -88,14 +90,14 @@
 };
 
 TEST_CASE_FIXTURE(Fixture, "schemas: a write goes on with an accepted version, and what waits is told so") {
-  CHECK(Ask(true, "c=set,v=1").come_back == std::chrono::milliseconds(200));  // nothing is known yet
-  CHECK(Of(true, "c=read", 0) == Allowance::kWithin);
+  CHECK(Ask(true, "c=set,v=1").retry_after == std::chrono::milliseconds(200));  // nothing is known yet
+  CHECK(Of(true, "c=read", 0) == QuotaVerdict::kWithin);
   Settle();
-  CHECK(Of(true, "c=set,v=1") == Allowance::kWithin);
-  CHECK(Of(true, "c=set,v=2,t=north") == Allowance::kWithin);
-  CHECK(Ask(true, "c=set,v=3").come_back == std::chrono::seconds(1));
-  CHECK(Ask(true, "c=set").come_back == settings.max_retry_after);
-  CHECK(Of(true, "c=set") == Allowance::kReject);
+  CHECK(Of(true, "c=set,v=1") == QuotaVerdict::kWithin);
+  CHECK(Of(true, "c=set,v=2,t=north") == QuotaVerdict::kWithin);
+  CHECK(Ask(true, "c=set,v=3").retry_after == std::chrono::seconds(1));
+  CHECK(Ask(true, "c=set").retry_after == settings.max_retry_after);
+  CHECK(Of(true, "c=set") == QuotaVerdict::kReject);
   CHECK(Figure("audience.accepted") == 2);
   CHECK(Figure("not_accepted") == 1);
   CHECK(Figure("no_version") == 2);
@@ -103,10 +105,10 @@
 
 TEST_CASE_FIXTURE(Fixture, "schemas: a reader is counted first, and what would break it is refused by name") {
   Settle();
-  CHECK(Of(false, "c=set") == Allowance::kWithin);
-  CHECK(Of(false, "c=set,by=ann,with=1") == Allowance::kReject);
+  CHECK(Of(false, "c=set") == QuotaVerdict::kWithin);
+  CHECK(Of(false, "c=set,by=ann,with=1") == QuotaVerdict::kReject);
   Settle();
-  CHECK(Of(false, "c=set,by=ann,with=1") == Allowance::kWithin);
+  CHECK(Of(false, "c=set,by=ann,with=1") == QuotaVerdict::kWithin);
   CHECK(Figure("audience.readers") == 1);
   of.schemas.push_back(kWithout);
   CHECK(office->Propose({of}));
@@ -116,12 +118,12 @@
   CHECK(office->Refused()[0].second.find("audience $.a") == 0);
   CHECK(office->Refused()[0].second.find("read by ann") != std::string::npos);
   CHECK(office->Refused()[0].second.find("; ann: statement 1, heard now") != std::string::npos);
-  CHECK(Of(true, "c=set,v=3") == Allowance::kReject);
+  CHECK(Of(true, "c=set,v=3") == QuotaVerdict::kReject);
   of.schemas.back() = kTwo;
   CHECK(office->Propose({of}));
   Settle();
   CHECK(office->Refused().empty());
-  CHECK(Of(true, "c=set,v=3") == Allowance::kWithin);
+  CHECK(Of(true, "c=set,v=3") == QuotaVerdict::kWithin);
   of.classes = {0, 1};
   CHECK_FALSE(office->Propose({of}));  // holds from the next start
 }
@@ -131,11 +133,11 @@
   published.busy = true;
   CHECK(office->Propose({of}));
   CHECK(office->Refused().empty());
-  CHECK(Ask(false, "c=set,by=ann,with=1").come_back == std::chrono::milliseconds(200));
+  CHECK(Ask(false, "c=set,by=ann,with=1").retry_after == std::chrono::milliseconds(200));
   published.busy = false;
   office->Hush();
-  CHECK(Ask(false, "c=set,by=ann,with=1").come_back == std::chrono::milliseconds(200));
-  CHECK(Of(true, "c=set,v=2") == Allowance::kWithin);  // what is known stays
+  CHECK(Ask(false, "c=set,by=ann,with=1").retry_after == std::chrono::milliseconds(200));
+  CHECK(Of(true, "c=set,v=2") == QuotaVerdict::kWithin);  // what is known stays
   CHECK(Figure("readers_refused") == 0);
 }
 
--- a/tests/orders/checker.h
+++ b/tests/orders/checker.h
@@ -36,14 +36,14 @@
       routers_[router].taken.push_back(now);
     }
     if (const auto* outcome = std::get_if<OutcomeEvent>(&event)) Told(routers_[router], *outcome);
-    if (const auto* gone = std::get_if<GoneEvent>(&event)) routers_[router].open.erase(gone->id);
+    if (const auto* gone = std::get_if<ClientGoneEvent>(&event)) routers_[router].open.erase(gone->id);
   }
 
   // What the module did then.
   void Did(int router, TimePoint now, const std::vector<Action>& actions) {
     for (const Action& action : actions) {
       if (const auto* send = std::get_if<Send>(&action)) Did(router, now, *send);
-      if (const auto* refuse = std::get_if<Refuse>(&action)) Did(routers_[router], *refuse);
+      if (const auto* reject = std::get_if<Reject>(&action)) Did(routers_[router], *reject);
       if (const auto* fail = std::get_if<Fail>(&action)) Ended(routers_[router], fail->id);
     }
   }
@@ -102,7 +102,7 @@
       TimePoint started = std::max(listing.entry.started, entry.started);  // one clock, read by all machines
       listing.entry = entry;
       listing.entry.started = started;
-      bool serves = entry.listed == Listed::kReady;
+      bool serves = entry.state == ServerState::kReady;
       listing.leaving = serves ? TimePoint::max() : std::min(listing.leaving, now);
     }
     if (news.scope == Scope::kDelta) return;
@@ -142,16 +142,17 @@
     if (listed->second.leaving != TimePoint::max() && now > listed->second.leaving + set_.drain_grace) {
       Broken("an attempt at a draining or gone server after the grace");
     }
-    bool at_origin = set_.aside && server.kind == set_.origin_kind;
-    if (set_.aside && request.write && !at_origin) Broken("a write to a server that only stores");
+    bool at_origin = set_.cache_aside && server.kind == set_.origin_kind;
+    if (set_.cache_aside && request.write && !at_origin) Broken("a write to a server that only stores");
     int attempt = static_cast<int>(request.tries.size());
     if (attempt >= set_.try_limit) Broken("more attempts than allowed");
     const ClassSettings& cls = set_.classes[static_cast<std::size_t>(request.cls)];
     for (const Try& tried : request.tries) {
-      if (tried.open && !set_.second_copies) Broken("two attempts out at once");
+      if (tried.open && !set_.concurrent_attempts) Broken("two attempts out at once");
       if (!tried.may_have_run) continue;
-      bool same = cls.group == Group::kAll ||
-                  (cls.group == Group::kZone ? server.zone == tried.zone : server.cell == tried.cell);
+      bool same =
+          cls.dedup_group == DedupGroup::kAll ||
+          (cls.dedup_group == DedupGroup::kZone ? server.zone == tried.zone : server.cell == tried.cell);
       switch (lab::JudgeRepeat(cls, now - tried.sent, Duration{}, same)) {
         case lab::Repeat::kFine:
           break;
@@ -189,17 +190,17 @@
     if (capacity_ <= 0 || server.started == TimePoint{} || age >= set_.warm_after) return;
     auto& sent = cold_[server.id.name];
     sent.push_back(now);
-    while (now - sent.front() > set_.tip_after) sent.pop_front();
+    while (now - sent.front() > set_.overload_duration) sent.pop_front();
     double grown = static_cast<double>(age.count()) / static_cast<double>(set_.warm_after.count());
     double can = capacity_ * (set_.start_capacity + (1 - set_.start_capacity) * grown);
-    double span = std::chrono::duration<double>(set_.tip_after).count();
-    if (static_cast<double>(sent.size()) > set_.fall_multiple * can * span + 1) {
+    double span = std::chrono::duration<double>(set_.overload_duration).count();
+    if (static_cast<double>(sent.size()) > set_.overload_multiple * can * span + 1) {
       Broken("a cold server was sent more than its budget");
     }
   }
 
-  void Did(Router& router, const Refuse& refuse) {
-    auto at = router.open.find(refuse.id);
+  void Did(Router& router, const Reject& reject) {
+    auto at = router.open.find(reject.id);
     if (at != router.open.end()) {
       const Open& request = at->second;
       bool ran = std::any_of(request.tries.begin(), request.tries.end(),
@@ -208,7 +209,7 @@
         Broken("a refusal of what may have run");
       }
     }
-    Ended(router, refuse.id);
+    Ended(router, reject.id);
   }
 
   void Ended(Router& router, RequestId id) {
--- a/tests/orders/checker_test.cpp
+++ b/tests/orders/checker_test.cpp
@@ -49,7 +49,7 @@
   s.Outcome("origin", Result::kReset);
   s.now += 300ms;
   s.Send("origin");
-  s.Did(Refuse{RequestId{1}, {}});
+  s.Did(Reject{RequestId{1}, {}});
   s.checker.Clock(s.now + 10s);
   EXPECT_EQ(s.Broken(), "");
 }
@@ -59,7 +59,7 @@
       {"no final answer in time", [](Stream& s) { s.Ask(kRead), s.checker.Clock(s.now + 1021ms); }},
       {"a second final answer",
        [](Stream& s) {
-         s.Ask(kRead), s.Did(Refuse{RequestId{1}, {}}), s.Did(Fail{RequestId{1}});
+         s.Ask(kRead), s.Did(Reject{RequestId{1}, {}}), s.Did(Fail{RequestId{1}});
        }},
       {"an attempt after the final answer",
        [](Stream& s) { s.Ask(kRead), s.Send("a"), s.Outcome("a", Result::kGood), s.Send("a"); }},
@@ -81,12 +81,12 @@
       {"a write to a server that only stores", [](Stream& s) { s.Ask(kKeyedWrite), s.Send("a"); }},
       {"a refusal of what may have run",
        [](Stream& s) {
-         s.Ask(kUnsafeWrite), s.Send("origin"), s.Did(Refuse{RequestId{1}, {}});
+         s.Ask(kUnsafeWrite), s.Send("origin"), s.Did(Reject{RequestId{1}, {}});
        }},
       {"an attempt at a server that no list has named", [](Stream& s) { s.Ask(kRead), s.Send("c"); }},
       {"an attempt at a draining or gone server after the grace",
        [](Stream& s) {
-         s.Told(MembershipEvent{Scope::kDelta, std::vector{Entry("a", Listed::kDraining)}});
+         s.Told(MembershipEvent{Scope::kDelta, std::vector{Entry("a", ServerState::kDraining)}});
          s.now += 501ms, s.Ask(kRead), s.Send("a");
        }},
       {"an attempt at a draining or gone server after the grace",  // a full list without it
@@ -114,8 +114,8 @@
 
 TEST(Checker, KeepsGroupsAndTheAllowance) {
   Settings settings = BasicSettings();
-  settings.aside = false;
-  settings.classes[kKeyedWrite].group = Group::kZone;
+  settings.cache_aside = false;
+  settings.classes[kKeyedWrite].dedup_group = DedupGroup::kZone;
   settings.attempt_window = 1s;
   settings.free_resends = 0;
   settings.extra_per_request = 0;
--- a/tests/orders/compat_test.cpp
+++ b/tests/orders/compat_test.cpp
@@ -5,7 +5,7 @@
 #include <iostream>
 
 #include "orders/compat_town.h"
-#include "orders/orders.h"
+#include "orders/interleavings.h"
 
 namespace peatbend::orders {
 namespace {
@@ -16,13 +16,13 @@
 };
 
 std::size_t Explore(const CompatTown& start, std::size_t most, std::uint64_t seed, CompatFound& found,
-                    Prints* distinct = nullptr) {
-  return ExploreTown(start, most, seed, found.broken, found.way,
-                     [&](const CompatTown& town, std::uint64_t print) {
-                       if (distinct != nullptr) distinct->Insert(print);
-                       found.accepted += town.accepted();
-                       found.joined += town.joined();
-                     });
+                    FingerprintSet* distinct = nullptr) {
+  return ExploreModel(start, most, seed, found.broken, found.way,
+                      [&](const CompatTown& town, std::uint64_t print) {
+                        if (distinct != nullptr) distinct->Insert(print);
+                        found.accepted += town.accepted();
+                        found.joined += town.joined();
+                      });
 }
 
 #if defined(__SANITIZE_ADDRESS__)
@@ -35,15 +35,16 @@
   auto from = std::chrono::steady_clock::now();
   const CompatTown start(setup);
   CompatFound found;
-  Sample sample = FromSeveralBeginnings(kMost, [&](std::uint64_t seed, std::size_t most, Prints& distinct) {
-    std::size_t states = Explore(start, most, seed, found, &distinct);
-    return found.broken.empty() ? std::optional(states) : std::nullopt;
-  });
+  ExplorationSummary sample =
+      ExploreFromSeveralSeeds(kMost, [&](std::uint64_t seed, std::size_t most, FingerprintSet& distinct) {
+        std::size_t states = Explore(start, most, seed, found, &distinct);
+        return found.broken.empty() ? std::optional(states) : std::nullopt;
+      });
   std::chrono::duration<double> took = std::chrono::steady_clock::now() - from;
   std::cout << name << ": " << sample.Text() << ", " << found.accepted << " with a version accepted, "
             << found.joined << " with a reader joined, " << took.count() << " s" << std::endl;
   EXPECT_EQ(found.broken, "") << found.way;
-  EXPECT_TRUE(sample.all || sample.distinct > kMost / 2);
+  EXPECT_TRUE(sample.complete || sample.distinct > kMost / 2);
   EXPECT_GT(found.accepted, 0u);
 }
 
--- a/tests/orders/compat_town.cpp
+++ b/tests/orders/compat_town.cpp
@@ -215,7 +215,7 @@
 }
 
 void CompatTown::Do(std::size_t a, const ParcelPtr& parcel) {
-  auto did = world_->did.Of(actors_[a], parcel, a, [&] { return DidOf(a, parcel.get()); });
+  auto did = world_->did.GetOrCompute(actors_[a], parcel, a, [&] { return DidOf(a, parcel.get()); });
   actors_[a] = did->actor;
   if (did->told) Tell(did->actor->role, did->told);
   for (const ParcelPtr& post : did->posts) Insert(post);
@@ -247,7 +247,8 @@
   if (keep) --twice_;
   if (!keep) bag_.erase(bag_.begin() + static_cast<std::ptrdiff_t>(i));
   if (!parcel->to_seat) return Do(parcel->actor, parcel);
-  auto answered = world_->answered.Of(seats_[parcel->seat], parcel, 0, [&] { return AnsweredOf(*parcel); });
+  auto answered =
+      world_->answered.GetOrCompute(seats_[parcel->seat], parcel, 0, [&] { return AnsweredOf(*parcel); });
   seats_[parcel->seat] = answered->seat;
   if (parcel->message.kind == failover::Kind::kAccept) Stands(parcel->seat);
   Insert(answered->answer);
@@ -283,7 +284,7 @@
 void CompatTown::DeliverWord(std::size_t i) {
   WordPtr word = words_[i];
   words_.erase(words_.begin() + static_cast<std::ptrdiff_t>(i));
-  auto answered = world_->answered.Of(seats_[word->to], word, 1, [&] { return HeardOf(*word); });
+  auto answered = world_->answered.GetOrCompute(seats_[word->to], word, 1, [&] { return HeardOf(*word); });
   seats_[word->to] = answered->seat;
   if (answered->word) words_.push_back(answered->word);
 }
--- a/tests/orders/compat_town.h
+++ b/tests/orders/compat_town.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "compat/register.h"
-#include "orders/orders.h"
+#include "orders/interleavings.h"
 
 namespace peatbend::orders {
 
@@ -111,8 +111,8 @@
   struct World {  // of all states
     CompatSetup setup;
     std::vector<std::string> versions;  // accepted at the beginning
-    mutable Memo<Did> did{1u << 14};
-    mutable Memo<Answered> answered{1u << 14};
+    mutable BoundedCache<Did> did{1u << 14};
+    mutable BoundedCache<Answered> answered{1u << 14};
     mutable std::map<std::string, Stood> stood;
     mutable std::map<std::string, bool> readable;  // with version 1
   };
--- a/tests/orders/failover_model.cpp
+++ b/tests/orders/failover_model.cpp
@@ -10,7 +10,7 @@
     : setup_(setup), reader_("w", {"reader", 7, 1}), budget_{setup.restarts, setup.syncs,  setup.deaths,
                                                              setup.twice,    setup.passes, setup.looks} {
   cls_.effect = setup.effect;
-  cls_.window = kWindow;
+  cls_.dedup_window = kWindow;
   for (std::size_t s = 0; s < failover::kReplicas; ++s) {
     replicas_.push_back(Of(Replica{Fresh(s, 1, -kOld), 1, 0}));
   }
--- a/tests/orders/failover_model_router.cpp
+++ b/tests/orders/failover_model_router.cpp
@@ -89,7 +89,7 @@
     failover::Span age = setup_.mutant == Mutant::kWindowAnew ? failover::Span{} : known.age(now_);
     bool nothing_ran =
         !ran && NextAction(router.ownership.Known(), cls_, age, kWithin) == failover::RecoveryAction::kSend;
-    bool repeat = nothing_ran || (cls_.effect == Effect::kKeyed && age + kWithin < cls_.window);
+    bool repeat = nothing_ran || (cls_.effect == Effect::kKeyed && age + kWithin < cls_.dedup_window);
     if (repeat && !std::exchange(router.again, true) && known.phase() != RecordProposer::Phase::kLost)
       return Want(r, router, out);
     router.ownership.Finish(now_, nothing_ran ? OperationOutcome::kRejected : OperationOutcome::kFailed, "",
--- a/tests/orders/failover_test.cpp
+++ b/tests/orders/failover_test.cpp
@@ -9,7 +9,7 @@
 
 #include "failover/replica_set.h"
 #include "orders/failover_model.h"
-#include "orders/orders.h"
+#include "orders/interleavings.h"
 
 namespace peatbend::orders {
 namespace {
--- a/tests/orders/life_cycle_test.cpp
+++ b/tests/orders/life_cycle_test.cpp
@@ -2,7 +2,7 @@
 #include "router/life_cycle.h"
 
 #include "doctest/doctest.h"
-#include "orders/orders.h"
+#include "orders/interleavings.h"
 
 namespace peatbend::net {
 namespace {
@@ -24,7 +24,7 @@
 };
 
 TEST_CASE("orders: the life cycle is what has happened to it, whatever the sequence") {
-  std::vector<orders::Happening<Life>> events = {
+  std::vector<orders::NamedEvent<Life>> events = {
       {"list held", [](Life& life) { life.cycle.ServerListHeld(), life.list_held = true; }},
       {"LEAVE",
        [](Life& life) {
@@ -51,8 +51,8 @@
   for (std::size_t length : {1, 2, 3, 4, 5, 6}) {
     sequences += orders::ForEachSequence(events, length, [&](const auto& sequence) {
       Life life;
-      for (const auto& event : sequence) event.happens(life);
-      life.Check(orders::Names(sequence));
+      for (const auto& event : sequence) event.apply(life);
+      life.Check(orders::EventNames(sequence));
     });
   }
   MESSAGE(sequences, " sequences");
--- a/tests/orders/module_test.cpp
+++ b/tests/orders/module_test.cpp
@@ -4,13 +4,13 @@
 #include <chrono>
 #include <iostream>
 
-#include "orders/orders.h"
-#include "orders/play.h"
+#include "orders/interleavings.h"
+#include "orders/router_simulation.h"
 
 namespace peatbend::orders {
 namespace {
 
-using Events = std::vector<Happening<Play>>;
+using Events = std::vector<NamedEvent<RouterSimulation>>;
 const Key kKey{11};
 
 ServerEntry At(ServerEntry entry, TimePoint started) {
@@ -22,18 +22,20 @@
   entry.id.name = name;
   return entry;
 }
-Happening<Play> Asks(std::string name, int router, unsigned id, int cls, Duration remaining = 1s) {
-  return {std::move(name), [=](Play& play) { play.Ask(router, id, kKey, cls, remaining); }};
+NamedEvent<RouterSimulation> Asks(std::string name, int router, unsigned id, int cls,
+                                  Duration remaining = 1s) {
+  return {std::move(name), [=](RouterSimulation& play) { play.Ask(router, id, kKey, cls, remaining); }};
 }
-Happening<Play> Ends(std::string name, int router, Result result) {
-  return {std::move(name), [=](Play& play) { play.SettleOldest(router, result); }};
+NamedEvent<RouterSimulation> Ends(std::string name, int router, Result result) {
+  return {std::move(name), [=](RouterSimulation& play) { play.SettleOldest(router, result); }};
 }
-Happening<Play> Lists(std::string name, ServerEntry entry) {
-  return {std::move(name), [=](Play& play) { play.List({entry}, Scope::kDelta); }};
+NamedEvent<RouterSimulation> Lists(std::string name, ServerEntry entry) {
+  return {std::move(name), [=](RouterSimulation& play) { play.List({entry}, Scope::kDelta); }};
 }
 // Started at the moment at which it is told.
-Happening<Play> Starts(std::string name, std::string server) {
-  return {std::move(name), [=](Play& play) { play.List({At(Entry(server), play.now)}, Scope::kDelta); }};
+NamedEvent<RouterSimulation> Starts(std::string name, std::string server) {
+  return {std::move(name),
+          [=](RouterSimulation& play) { play.List({At(Entry(server), play.now)}, Scope::kDelta); }};
 }
 
 // The sanitizers look at what is touched: there each order is played once, with one of the three spaces
@@ -45,19 +47,19 @@
 #endif
 
 void PlayAll(const std::string& about, const Events& events, const Settings& settings = BasicSettings(),
-             double capacity = 0, const std::function<void(Play&)>& before = {}) {
+             double capacity = 0, const std::function<void(RouterSimulation&)>& before = {}) {
   auto from = std::chrono::steady_clock::now();
   std::size_t orders = 0, sends = 0, failures = 0, turn = 0;
   for (Duration apart : {Duration(0ms), Duration(35ms), Duration(560ms)}) {
     std::size_t at = turn++;
-    ForEachOrder(events, [&](const Events& order) {
+    ForEachPermutation(events, [&](const Events& order) {
       if (at++ % kOneOf != 0) return;
       ++orders;
-      Play play(settings, 2, 7, capacity);
+      RouterSimulation play(settings, 2, 7, capacity);
       play.List({Entry("a"), Entry("b"), Entry("origin")});
       if (before) before(play);
       for (const auto& event : order) {
-        event.happens(play);
+        event.apply(play);
         play.Pass(apart);
       }
       play.Pass(settings.classes[kRead].deadline + 100ms);
@@ -66,7 +68,7 @@
       std::string rule =
           play.checker.broken().empty() ? "a request without an answer" : play.checker.broken().front();
       if (++failures <= 3) {
-        ADD_FAILURE() << rule << " in: " << Names(order) << ", " << apart.count() / 1000000
+        ADD_FAILURE() << rule << " in: " << EventNames(order) << ", " << apart.count() / 1000000
                       << " ms apart; did " << play.log.str();
       }
     });
@@ -81,31 +83,31 @@
   PlayAll("drain", {Asks("ask", 0, 1, kRead),
                     Asks("ask keyed", 0, 2, kKeyedWrite),
                     Asks("ask unsafe", 1, 3, kUnsafeWrite),
-                    Lists("a drains", Entry("a", Listed::kDraining)),
+                    Lists("a drains", Entry("a", ServerState::kDraining)),
                     Ends("bad", 0, Result::kBad),
                     Ends("reset", 1, Result::kReset),
-                    {"client leaves", [](Play& play) { play.Leave(0, 1); }}});
+                    {"client leaves", [](RouterSimulation& play) { play.Leave(0, 1); }}});
 }
 
 TEST(Orders, AServerGoesAndIsBackAnew) {
-  PlayAll("gone and back",
-          {Asks("ask", 0, 1, kRead), Asks("ask there", 1, 2, kRead),
-           Lists("a gone", Entry("a", Listed::kGone)), Starts("a new", "a"), Lists("a as it was", Entry("a")),
-           Ends("miss", 0, Result::kMiss), Ends("no connection", 1, Result::kNoConn)});
+  PlayAll("gone and back", {Asks("ask", 0, 1, kRead), Asks("ask there", 1, 2, kRead),
+                            Lists("a gone", Entry("a", ServerState::kGone)), Starts("a new", "a"),
+                            Lists("a as it was", Entry("a")), Ends("miss", 0, Result::kMiss),
+                            Ends("no connection", 1, Result::kNoConn)});
 }
 
 TEST(Orders, TheOriginIsReplacedUnderWrites) {
   PlayAll("origin", {Asks("ask", 0, 1, kRead), Asks("ask keyed", 0, 2, kKeyedWrite),
                      Asks("ask unsafe", 1, 3, kUnsafeWrite), Starts("origin new", "origin"),
-                     Lists("origin gone", Entry("origin", Listed::kGone)), Ends("full", 1, Result::kFull),
-                     Ends("miss", 0, Result::kMiss)});
+                     Lists("origin gone", Entry("origin", ServerState::kGone)),
+                     Ends("full", 1, Result::kFull), Ends("miss", 0, Result::kMiss)});
 }
 
 // The place of a server that has gone is another's within the same moment.
 TEST(Orders, OneGoesAsAnotherComes) {
   PlayAll("places", {Asks("ask", 0, 1, kRead), Asks("ask keyed", 0, 2, kKeyedWrite),
-                     Lists("a gone", Entry("a", Listed::kGone)), Lists("c comes", Entry("c")),
-                     Lists("origin gone", Entry("origin", Listed::kGone)),
+                     Lists("a gone", Entry("a", ServerState::kGone)), Lists("c comes", Entry("c")),
+                     Lists("origin gone", Entry("origin", ServerState::kGone)),
                      Lists("origin comes", Origin("origin-2")), Ends("good", 0, Result::kGood)});
 }
 
@@ -116,23 +118,23 @@
                         Ends("miss", 0, Result::kMiss),
                         Ends("miss", 0, Result::kMiss),
                         Ends("bad", 0, Result::kBad),
-                        {"first leaves", [](Play& play) { play.Leave(0, 1); }}});
+                        {"first leaves", [](RouterSimulation& play) { play.Leave(0, 1); }}});
 }
 
 TEST(Orders, ListsThatAreLateOrFail) {
   Settings settings = BasicSettings();
   settings.must_subscribe = true;
-  settings.ask_every = 2s;
+  settings.subscribe_interval = 2s;
   PlayAll("late lists",
           {Asks("ask", 0, 1, kRead),
            Asks("ask unsafe", 1, 2, kUnsafeWrite),
            Starts("a new", "a"),
            {"an old list",
-            [](Play& play) {
+            [](RouterSimulation& play) {
               play.List({Entry("a"), Entry("origin")});
             }},
-           {"an empty list", [](Play& play) { play.List({}); }},
-           {"watch lost", [](Play& play) { play.List({}, Scope::kFailed); }},
+           {"an empty list", [](RouterSimulation& play) { play.List({}); }},
+           {"watch lost", [](RouterSimulation& play) { play.List({}, Scope::kFailed); }},
            Ends("reset", 0, Result::kReset)},
           settings);
 }
@@ -141,8 +143,8 @@
 // late list tells in between.
 TEST(Orders, AColdServerGetsItsBudgetFromAllTogether) {
   Settings settings = BasicSettings();
-  settings.proxies = 2;
-  auto answered = [](Play& play) {  // what each has seen of warm servers: two a second
+  settings.routers = 2;
+  auto answered = [](RouterSimulation& play) {  // what each has seen of warm servers: two a second
     for (unsigned id = 1000; id < 1040; ++id) {
       play.Ask(id % 2, id, Key{id}, kRead);
       play.SettleOldest(id % 2, Result::kGood);
@@ -150,8 +152,8 @@
     }
     play.List({At(Entry("a"), play.now), At(Entry("b"), play.now)}, Scope::kDelta);
   };
-  auto burst = [](std::string name, int router, unsigned first) -> Happening<Play> {
-    return {std::move(name), [=](Play& play) {
+  auto burst = [](std::string name, int router, unsigned first) -> NamedEvent<RouterSimulation> {
+    return {std::move(name), [=](RouterSimulation& play) {
               for (unsigned id = first; id < first + 5; ++id) {
                 play.Ask(router, id, kKey, kRead);
                 play.SettleOldest(router, Result::kGood);
--- a/tests/orders/office_test.cpp
+++ b/tests/orders/office_test.cpp
@@ -18,11 +18,11 @@
   const OfficeTown start(setup);
   std::size_t admitted = 0;
   std::string broken, way;
-  Sample sample = FromSeveralBeginnings(
+  ExplorationSummary sample = ExploreFromSeveralSeeds(
       kMost,
-      [&](std::uint64_t seed, std::size_t most, Prints& distinct) {
+      [&](std::uint64_t seed, std::size_t most, FingerprintSet& distinct) {
         std::size_t states =
-            ExploreTown(start, most, seed, broken, way, [&](const OfficeTown& town, std::uint64_t print) {
+            ExploreModel(start, most, seed, broken, way, [&](const OfficeTown& town, std::uint64_t print) {
               distinct.Insert(print);
               admitted += town.admitted() > 0 ? 1 : 0;
             });
--- a/tests/orders/office_town.cpp
+++ b/tests/orders/office_town.cpp
@@ -185,7 +185,7 @@
 
 void OfficeTown::Do(std::size_t r, What what, const ParcelPtr& parcel) {
   std::uint64_t number = static_cast<std::uint64_t>(what) << 8 | static_cast<std::uint64_t>(now_);
-  auto did = world_->did.Of(routers_[r], parcel, number, [&] { return DidOf(r, what, parcel); });
+  auto did = world_->did.GetOrCompute(routers_[r], parcel, number, [&] { return DidOf(r, what, parcel); });
   routers_[r] = did->router;
   if (did->admitted) ++admitted_[static_cast<std::size_t>(now_)];
   if (did->admitted) Judge();
--- a/tests/orders/office_town.h
+++ b/tests/orders/office_town.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "orders/orders.h"
+#include "orders/interleavings.h"
 #include "rations/office.h"
 
 namespace peatbend::orders {
@@ -75,7 +75,7 @@
     OfficeSetup setup;
     std::shared_ptr<const rations::Table> books[2];
     failover::ReplicaSet seats{{{"r0", "a"}, {"r1", "b"}, {"r2", "c"}}};
-    mutable Memo<Did> did{1u << 14};
+    mutable BoundedCache<Did> did{1u << 14};
   };
 
   std::shared_ptr<rations::Office> NewOffice(std::size_t r, std::uint64_t nonce) const;
--- a/tests/orders/open_test.cpp
+++ b/tests/orders/open_test.cpp
@@ -20,13 +20,13 @@
       cls.aim = milliseconds(500);
       cls.deadline = milliseconds(1000);
     }
-    settings.aside = true;
+    settings.cache_aside = true;
     settings.origin_kind = 1;
     settings.try_limit = 4;
     settings.start_capacity = 0.14;
     settings.warm_after = std::chrono::seconds(24);
-    settings.fall_multiple = 3;
-    settings.tip_after = std::chrono::seconds(2);
+    settings.overload_multiple = 3;
+    settings.overload_duration = std::chrono::seconds(2);
     settings.tick = milliseconds(5);
     return settings;
   }();
@@ -89,7 +89,7 @@
   }
   CHECK(small.Ask(1000, false, milliseconds(5)) == 0);
   CHECK(std::ranges::count_if(
-            small.did, [](const Action& action) { return std::holds_alternative<Refuse>(action); }) == 1);
+            small.did, [](const Action& action) { return std::holds_alternative<Reject>(action); }) == 1);
 }
 
 // F15, the other side: half of what servers have answered in may do, and so may anything once no server has
--- a/tests/orders/rations_test.cpp
+++ b/tests/orders/rations_test.cpp
@@ -4,7 +4,7 @@
 #include <chrono>
 #include <iostream>
 
-#include "orders/orders.h"
+#include "orders/interleavings.h"
 #include "orders/rations_town.h"
 
 namespace peatbend::orders {
@@ -16,13 +16,13 @@
 };
 
 std::size_t Explore(const RationsTown& start, std::size_t most, std::uint64_t seed, Found& found,
-                    Prints* distinct = nullptr) {
-  return ExploreTown(start, most, seed, found.broken, found.way,
-                     [&](const RationsTown& town, std::uint64_t print) {
-                       if (distinct != nullptr) distinct->Insert(print);
-                       found.handed += town.handed() > 0 ? 1 : 0;
-                       found.admitted += town.admitted() > 0 ? 1 : 0;
-                     });
+                    FingerprintSet* distinct = nullptr) {
+  return ExploreModel(start, most, seed, found.broken, found.way,
+                      [&](const RationsTown& town, std::uint64_t print) {
+                        if (distinct != nullptr) distinct->Insert(print);
+                        found.handed += town.handed() > 0 ? 1 : 0;
+                        found.admitted += town.admitted() > 0 ? 1 : 0;
+                      });
 }
 
 #if defined(__SANITIZE_ADDRESS__)
@@ -35,15 +35,16 @@
   auto from = std::chrono::steady_clock::now();
   const RationsTown start(setup);
   Found found;
-  Sample sample = FromSeveralBeginnings(kMost, [&](std::uint64_t seed, std::size_t most, Prints& distinct) {
-    std::size_t states = Explore(start, most, seed, found, &distinct);
-    return found.broken.empty() ? std::optional(states) : std::nullopt;
-  });
+  ExplorationSummary sample =
+      ExploreFromSeveralSeeds(kMost, [&](std::uint64_t seed, std::size_t most, FingerprintSet& distinct) {
+        std::size_t states = Explore(start, most, seed, found, &distinct);
+        return found.broken.empty() ? std::optional(states) : std::nullopt;
+      });
   std::chrono::duration<double> took = std::chrono::steady_clock::now() - from;
   std::cout << name << ": " << sample.Text() << ", " << found.handed << " with tokens handed out, "
             << found.admitted << " with some admitted, " << took.count() << " s" << std::endl;
   EXPECT_EQ(found.broken, "") << found.way;
-  EXPECT_TRUE(sample.all || sample.distinct > kMost / 2);
+  EXPECT_TRUE(sample.complete || sample.distinct > kMost / 2);
   if (kMost < 10'000) return;
   EXPECT_GT(setup.requests > 0 ? found.admitted : found.handed, 0u);
 }
--- a/tests/orders/rations_town.cpp
+++ b/tests/orders/rations_town.cpp
@@ -172,7 +172,7 @@
 
 void RationsTown::Do(std::size_t r, Act act, std::uint64_t of, const ParcelPtr& parcel) {
   std::uint64_t number = (of << 8 | static_cast<std::uint64_t>(act)) << 8 | static_cast<std::uint64_t>(now_);
-  auto did = world_->did.Of(routers_[r], parcel, number, [&] {
+  auto did = world_->did.GetOrCompute(routers_[r], parcel, number, [&] {
     return Step(setup(), world_->table, now_, *routers_[r]).Do(act, of, parcel.get());
   });
   routers_[r] = did->router;
@@ -225,7 +225,7 @@
   if (!router->alive || !router->kept || message.go != router->kept->fence.go()) return false;
   if (Is(Careless::kOpenSet) && message.kind == MessageKind::kPromise) return true;
   if (Is(Careless::kOneSeat) && message.kind == MessageKind::kConfirmed) return true;
-  return *world_->tells.Of(router, answer, 0, [&] {
+  return *world_->tells.GetOrCompute(router, answer, 0, [&] {
     std::string before, after;
     router->kept->fence.Put(answer->other, before);
     Fence fence = router->kept->fence;
@@ -237,7 +237,7 @@
 
 std::shared_ptr<const RationsTown::Answered> RationsTown::Ask(const ParcelPtr& asked, bool former) const {
   const SeatPtr& at = seats_[asked->other];
-  return world_->answered.Of(at, asked, former ? 1 : 0, [&] {
+  return world_->answered.GetOrCompute(at, asked, former ? 1 : 0, [&] {
     SeatState seat = *at;
     Go before = seat.seat.promised();
     Message answer = Answer(former ? *seat.former : seat.seat, asked->message);
--- a/tests/orders/rations_town.h
+++ b/tests/orders/rations_town.h
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-#include "orders/orders.h"
+#include "orders/interleavings.h"
 #include "orders/rations_router.h"
 
 namespace peatbend::orders {
@@ -58,9 +58,9 @@
   struct World {  // of all states
     RationsSetup setup;
     std::shared_ptr<const rations::Table> table;
-    mutable Memo<Did> did{1u << 14};
-    mutable Memo<Answered> answered{1u << 14};
-    mutable Memo<bool> tells{1u << 15};
+    mutable BoundedCache<Did> did{1u << 14};
+    mutable BoundedCache<Answered> answered{1u << 14};
+    mutable BoundedCache<bool> tells{1u << 15};
   };
 
   const RationsSetup& setup() const { return world_->setup; }
--- a/tests/orders/play.h
+++ b/tests/orders/router_simulation.h
@@ -10,9 +10,10 @@
 
 namespace peatbend::orders {
 
-class Play {
+class RouterSimulation {
  public:
-  explicit Play(const Settings& settings, int routers = 1, std::uint64_t seed = 7, double capacity = 0)
+  explicit RouterSimulation(const Settings& settings, int routers = 1, std::uint64_t seed = 7,
+                            double capacity = 0)
       : set(settings), checker(settings, capacity) {
     for (int i = 0; i < routers; ++i)
       routers_.push_back({Balancer(settings, seed + static_cast<unsigned>(i)), {}});
@@ -29,10 +30,10 @@
       if (const auto* send = std::get_if<Send>(&action)) {
         log << "S" << static_cast<unsigned>(send->id) << send->server.name << ' ';
       }
-      if (const auto* refuse = std::get_if<Refuse>(&action))
-        log << "R" << static_cast<unsigned>(refuse->id) << ' ';
+      if (const auto* reject = std::get_if<Reject>(&action))
+        log << "R" << static_cast<unsigned>(reject->id) << ' ';
       if (const auto* fail = std::get_if<Fail>(&action)) log << "F" << static_cast<unsigned>(fail->id) << ' ';
-      if (const auto* timer = std::get_if<SetTimer>(&action)) router.timers.push_back(now + timer->in);
+      if (const auto* timer = std::get_if<SetTimer>(&action)) router.timers.push_back(now + timer->delay);
     }
   }
 
@@ -54,7 +55,7 @@
     for (int i = 0; i < static_cast<int>(routers_.size()); ++i) List(i, entries, scope);
   }
   void Leave(int router, unsigned id) {
-    if (checker.IsOpen(router, RequestId{id})) Take(router, GoneEvent{RequestId{id}});
+    if (checker.IsOpen(router, RequestId{id})) Take(router, ClientGoneEvent{RequestId{id}});
   }
   void Settle(const Checker::Flight& out, Result result) { Settle(out, result, now - out.sent); }
   void Settle(Checker::Flight flight, Result result, Duration elapsed) {
--- a/tests/orders/beliefs_test.cpp
+++ b/tests/orders/server_replacement_test.cpp
@@ -62,7 +62,7 @@
     proxy.List({Started(name, proxy.now)}, Scope::kDelta);
     for (unsigned id = 1; id <= 6; ++id) proxy.Answer(id, Result::kReset, 101ms);
     for (const Action& action : proxy.all) EXPECT_EQ(std::get_if<Log>(&action), nullptr);  // none is ejected
-    EXPECT_EQ(proxy.balancer.avoided(), 0u);
+    EXPECT_EQ(proxy.balancer.unavailable(), 0u);
     if (name != "origin") continue;
     proxy.now += 1s;
     EXPECT_EQ(SentAtOnce(proxy, 100), 6u);
--- a/tests/orders/sockets_test.cpp
+++ b/tests/orders/sockets_test.cpp
@@ -3,7 +3,7 @@
 #include <chrono>
 
 #include "net/stage.h"
-#include "orders/orders.h"
+#include "orders/interleavings.h"
 
 namespace peatbend::net::test {
 namespace {
@@ -81,15 +81,15 @@
 };
 
 TEST_CASE("orders: on sockets each request has its one answer, and no rule is broken") {
-  std::vector<orders::Happening<Sockets>> events = {
+  std::vector<orders::NamedEvent<Sockets>> events = {
       {"ask", &Sockets::Ask},     {"write", &Sockets::Write},         {"answer", &Sockets::Answer},
       {"drain", &Sockets::Drain}, {"client leaves", &Sockets::Leave}, {"stop", &Sockets::Stops}};
   auto from = std::chrono::steady_clock::now();
-  std::size_t count = orders::ForEachOrder(events, [](const auto& order) {
-    INFO(orders::Names(order));
+  std::size_t count = orders::ForEachPermutation(events, [](const auto& order) {
+    INFO(orders::EventNames(order));
     Sockets play;
     for (const auto& event : order) {
-      event.happens(play);
+      event.apply(play);
       play.Check();
     }
     play.Finish();
--- a/tests/orders/trials_test.cpp
+++ b/tests/orders/trials_test.cpp
@@ -3,7 +3,7 @@
 
 #include <iostream>
 
-#include "orders/orders.h"
+#include "orders/interleavings.h"
 #include "orders/trials_town.h"
 
 namespace peatbend::orders {
@@ -15,12 +15,12 @@
 };
 
 std::size_t Explore(const TrialsTown& start, std::size_t most, std::uint64_t seed, TrialsFound& found,
-                    Prints* distinct = nullptr) {
-  return ExploreTown(start, most, seed, found.broken, found.way,
-                     [&](const TrialsTown& town, std::uint64_t print) {
-                       if (distinct != nullptr) distinct->Insert(print);
-                       found.begun = std::max(found.begun, town.begun());
-                     });
+                    FingerprintSet* distinct = nullptr) {
+  return ExploreModel(start, most, seed, found.broken, found.way,
+                      [&](const TrialsTown& town, std::uint64_t print) {
+                        if (distinct != nullptr) distinct->Insert(print);
+                        found.begun = std::max(found.begun, town.begun());
+                      });
 }
 
 #if defined(__SANITIZE_ADDRESS__)
@@ -32,10 +32,11 @@
 void HoldsIn(const std::string& name, const TrialsSetup& setup, int begun) {
   const TrialsTown start(setup);
   TrialsFound found;
-  Sample sample = FromSeveralBeginnings(kMost, [&](std::uint64_t seed, std::size_t most, Prints& distinct) {
-    std::size_t states = Explore(start, most, seed, found, &distinct);
-    return found.broken.empty() ? std::optional(states) : std::nullopt;
-  });
+  ExplorationSummary sample =
+      ExploreFromSeveralSeeds(kMost, [&](std::uint64_t seed, std::size_t most, FingerprintSet& distinct) {
+        std::size_t states = Explore(start, most, seed, found, &distinct);
+        return found.broken.empty() ? std::optional(states) : std::nullopt;
+      });
   std::cout << name << ": " << sample.Text() << ", up to " << found.begun << " trials" << std::endl;
   EXPECT_EQ(found.broken, "") << found.way;
   EXPECT_GE(found.begun, begun);
--- a/tests/balance_waiting_test.cpp
+++ b/tests/queueing_test.cpp
@@ -93,8 +93,8 @@
   for (unsigned id = 1; id <= 8; ++id) EXPECT_NE(SentTo(proxy.Ask(id, id)), "");
   EXPECT_EQ(SentTo(proxy.Ask(9, 9)), "");  // no room: held
   TimePoint asked = proxy.now;
-  std::vector<Refuse> refused;
-  while (refused.empty() && proxy.now < asked + 1s) refused = Only<Refuse>(proxy.Tick(5ms));
+  std::vector<Reject> refused;
+  while (refused.empty() && proxy.now < asked + 1s) refused = Only<Reject>(proxy.Tick(5ms));
   ASSERT_EQ(refused.size(), 1u);
   EXPECT_EQ(refused[0].id, RequestId{9});
   EXPECT_LT(proxy.now - asked, 500ms);
@@ -117,7 +117,7 @@
   proxy.Ask(1, 5);
   proxy.Answer(1, Result::kMiss);
   proxy.Ask(2, 5);
-  auto after = proxy.Take(GoneEvent{RequestId{1}});
+  auto after = proxy.Take(ClientGoneEvent{RequestId{1}});
   EXPECT_EQ(SentTo(after), "origin");
 }
 
@@ -145,7 +145,7 @@
   ASSERT_EQ(SentTo(proxy.Answer(1, Result::kMiss)), "origin");
   TimePoint asked = proxy.now;
   ASSERT_EQ(SentTo(proxy.Ask(2, 5)), "");
-  while (Only<Refuse>(proxy.Tick(5ms)).empty()) ASSERT_LT(proxy.now - asked, 500ms);
+  while (Only<Reject>(proxy.Tick(5ms)).empty()) ASSERT_LT(proxy.now - asked, 500ms);
 }
 
 TEST(Origin, AReadIsNotHeldSoLongThatItCannotBeAnswered) {
@@ -158,7 +158,7 @@
   for (unsigned id = 100; id < 200; ++id) proxy.Ask(id, id, kKeyedWrite);  // its limit is reached
   proxy.all.clear();
   proxy.Tick(900ms);  // 100 ms are left: too late to send
-  EXPECT_FALSE(Only<Refuse>(proxy.all).empty());
+  EXPECT_FALSE(Only<Reject>(proxy.all).empty());
   EXPECT_TRUE(Only<Send>(proxy.all).empty());
 }
 
--- a/tests/allowance_test.cpp
+++ b/tests/quota_verdict_test.cpp
@@ -4,52 +4,52 @@
 namespace peatbend {
 namespace {
 
-RequestEvent OfRation(unsigned id, Allowance allowance, Duration come_back = {}) {
+RequestEvent OfRation(unsigned id, QuotaVerdict allowance, Duration come_back = {}) {
   RequestEvent event;
   event.id = RequestId{id};
   event.key = Key{id};
   event.remaining = 1s;
-  event.allowance = allowance;
-  event.come_back = come_back;
+  event.quota_verdict = allowance;
+  event.retry_after = come_back;
   return event;
 }
 
-TEST(Allowance, OverItsRationIsRejectedAtOnceWithTheTimeToComeBack) {
+TEST(QuotaVerdict, OverItsRationIsRejectedAtOnceWithTheTimeToComeBack) {
   Settings settings = BasicSettings();
-  settings.retry_after = true;
+  settings.may_send_retry_after = true;
   settings.max_retry_after = 400ms;
   Proxy proxy(settings);
   proxy.List(Fleet(3));
-  auto soon = Only<Refuse>(proxy.Take(OfRation(1, Allowance::kReject, 70ms)));
+  auto soon = Only<Reject>(proxy.Take(OfRation(1, QuotaVerdict::kReject, 70ms)));
   ASSERT_EQ(soon.size(), 1u);
   EXPECT_EQ(soon[0].backoff, Duration(70ms));
-  EXPECT_EQ(Only<Refuse>(proxy.Take(OfRation(2, Allowance::kReject, 3s)))[0].backoff, Duration(400ms));
+  EXPECT_EQ(Only<Reject>(proxy.Take(OfRation(2, QuotaVerdict::kReject, 3s)))[0].backoff, Duration(400ms));
   EXPECT_TRUE(Only<Send>(proxy.all).empty());
-  EXPECT_NE(SentTo(proxy.Take(OfRation(3, Allowance::kWithin))), "");
+  EXPECT_NE(SentTo(proxy.Take(OfRation(3, QuotaVerdict::kWithin))), "");
 }
 
-TEST(Allowance, NoTimeIsToldWhereTheDeploymentHasNone) {
+TEST(QuotaVerdict, NoTimeIsToldWhereTheDeploymentHasNone) {
   Proxy proxy;
   proxy.List(Fleet(3));
-  auto refused = Only<Refuse>(proxy.Take(OfRation(1, Allowance::kReject, 70ms)));
+  auto refused = Only<Reject>(proxy.Take(OfRation(1, QuotaVerdict::kReject, 70ms)));
   ASSERT_EQ(refused.size(), 1u);
   EXPECT_EQ(refused[0].backoff, Duration::zero());
 }
 
 // Both wait for the origin: the one over its ration came first and goes last.
-TEST(Allowance, OverItsRationWaitsBehindWhatIsWithin) {
+TEST(QuotaVerdict, OverItsRationWaitsBehindWhatIsWithin) {
   Proxy proxy;
   proxy.List(Fleet(2));
-  auto write = [](unsigned id, Allowance allowance) {
+  auto write = [](unsigned id, QuotaVerdict allowance) {
     RequestEvent event = OfRation(id, allowance);
     event.cls = kKeyedWrite;
     event.write = true;
     return event;
   };
   unsigned id = 1;
-  while (!SentTo(proxy.Take(write(id, Allowance::kWithin))).empty()) ++id;  // the bound is reached: held
-  proxy.Take(write(id + 1, Allowance::kLower));
-  proxy.Take(write(id + 2, Allowance::kWithin));
+  while (!SentTo(proxy.Take(write(id, QuotaVerdict::kWithin))).empty()) ++id;  // the bound is reached: held
+  proxy.Take(write(id + 1, QuotaVerdict::kDeprioritize));
+  proxy.Take(write(id + 2, QuotaVerdict::kWithin));
   std::vector<unsigned> order;
   for (unsigned done = 1; done < id; ++done) {
     for (const Send& send : Only<Send>(proxy.Answer(done, Result::kGood, 20ms)))
@@ -69,7 +69,7 @@
   proxy.List({}, Scope::kDelta);
   proxy.Ask(2, 6);
   EXPECT_EQ(proxy.balancer.tables_built(), 1u);
-  proxy.List({Entry("cache-10", Listed::kDraining)}, Scope::kDelta);
+  proxy.List({Entry("cache-10", ServerState::kDraining)}, Scope::kDelta);
   proxy.Ask(3, 7);
   EXPECT_EQ(proxy.balancer.tables_built(), 2u);
 }
@@ -79,15 +79,15 @@
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     Settings settings = BasicSettings();
     settings.must_subscribe = true;
-    settings.ask_every = 4s;
+    settings.subscribe_interval = 4s;
     Proxy proxy(settings, seed);
     auto timers = Only<SetTimer>(proxy.List(Fleet(3), Scope::kCached));
-    proxy.Tick(timers[0].in);
+    proxy.Tick(timers[0].delay);
     for (int failure = 0; failure < 12; ++failure) {
       timers = Only<SetTimer>(proxy.List({}, Scope::kFailed));
       ASSERT_EQ(timers.size(), 1u);
-      EXPECT_LE(timers[0].in, settings.ask_every);
-      ASSERT_EQ(Only<Subscribe>(proxy.Tick(timers[0].in)).size(), 1u);
+      EXPECT_LE(timers[0].delay, settings.subscribe_interval);
+      ASSERT_EQ(Only<Subscribe>(proxy.Tick(timers[0].delay)).size(), 1u);
     }
   }
 }
--- a/tests/random_test.cpp
+++ b/tests/random_test.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <random>
 
-#include "orders/play.h"
+#include "orders/router_simulation.h"
 
 namespace peatbend {
 namespace {
@@ -37,7 +37,7 @@
       for (int i = 0; i < 7; ++i) {
         unsigned how = Draw(12);
         ServerEntry entry = Entry(i == 0 ? "origin" : "cache-" + std::to_string(i));
-        entry.listed = how == 0 ? Listed::kDraining : Listed::kReady;
+        entry.state = how == 0 ? ServerState::kDraining : ServerState::kReady;
         entry.zone = i % 2;
         entry.cell = i % 3;
         if (how == 1) started_[i] = play_.now;
@@ -63,7 +63,7 @@
 
   Settings set_;
   std::mt19937 rng_;
-  orders::Play play_;
+  orders::RouterSimulation play_;
   TimePoint started_[7] = {};
   unsigned next_ = 1;
 };
@@ -72,18 +72,18 @@
   for (std::uint32_t seed = 1; seed <= 24; ++seed) {
     SCOPED_TRACE(seed);
     Settings settings = BasicSettings();
-    settings.aside = seed % 2 == 0;
+    settings.cache_aside = seed % 2 == 0;
     settings.must_subscribe = seed % 3 == 0;
-    settings.ask_every = 2s;
-    settings.second_copies = seed % 4 == 0;
+    settings.subscribe_interval = 2s;
+    settings.concurrent_attempts = seed % 4 == 0;
     settings.may_cancel = seed % 5 != 0;
-    settings.classes[kKeyedWrite].group = static_cast<Group>(seed % 3);
+    settings.classes[kKeyedWrite].dedup_group = static_cast<DedupGroup>(seed % 3);
     if (seed % 2 == 1) {
       settings.attempt_window = 3s;
       settings.free_resends = 1;
       settings.extra_per_request = 0.1;
     }
-    settings.proxies = seed % 3 == 1 ? 500 : 1;
+    settings.routers = seed % 3 == 1 ? 500 : 1;
     settings.connection_price = settings.handshake_price = seed % 4 == 1 ? 0.03 : 0;
     std::string once = World(settings, seed).Run(1500);
     EXPECT_GT(once.size(), 1000u);
--- a/tests/balance_test.cpp
+++ b/tests/server_selection_test.cpp
@@ -78,10 +78,10 @@
 TEST(Choice, NothingToSendToIsRefusedAtOnce) {
   Proxy proxy;
   proxy.List({});
-  EXPECT_EQ(Only<Refuse>(proxy.Ask(1, 5)).size(), 1u);
-  proxy.List({Entry("cache-10", Listed::kDraining), Entry("cache-11", Listed::kGone)});
-  EXPECT_EQ(Only<Refuse>(proxy.Ask(2, 5)).size(), 1u);
-  EXPECT_EQ(Only<Refuse>(proxy.Ask(3, 5, kUnsafeWrite)).size(), 1u);
+  EXPECT_EQ(Only<Reject>(proxy.Ask(1, 5)).size(), 1u);
+  proxy.List({Entry("cache-10", ServerState::kDraining), Entry("cache-11", ServerState::kGone)});
+  EXPECT_EQ(Only<Reject>(proxy.Ask(2, 5)).size(), 1u);
+  EXPECT_EQ(Only<Reject>(proxy.Ask(3, 5, kUnsafeWrite)).size(), 1u);
 }
 
 TEST(Membership, NothingGoesToADrainingServerFromTheMomentItIsKnown) {
@@ -89,7 +89,7 @@
   proxy.List(Fleet(3));
   std::string first = SentTo(proxy.Ask(1, 5));
   proxy.Answer(1, Result::kGood);
-  proxy.List({Entry(first, Listed::kDraining)}, Scope::kDelta);
+  proxy.List({Entry(first, ServerState::kDraining)}, Scope::kDelta);
   for (unsigned id = 2; id < 60; ++id) {
     EXPECT_NE(SentTo(proxy.Ask(id, id)), first);
     proxy.Answer(id, Result::kGood);
@@ -99,15 +99,15 @@
 TEST(Membership, SubscribesAtTheStartAndAgainAfterAFailure) {
   Settings settings = BasicSettings();
   settings.must_subscribe = true;
-  settings.ask_every = 10s;
+  settings.subscribe_interval = 10s;
   Proxy proxy(settings);
   auto started = proxy.List(Fleet(3), Scope::kCached);
   ASSERT_EQ(Only<SetTimer>(started).size(), 1u);
-  EXPECT_EQ(Only<Subscribe>(proxy.Tick(Only<SetTimer>(started)[0].in)).size(), 1u);
+  EXPECT_EQ(Only<Subscribe>(proxy.Tick(Only<SetTimer>(started)[0].delay)).size(), 1u);
   auto failed = proxy.List({}, Scope::kFailed);
   ASSERT_EQ(Only<SetTimer>(failed).size(), 1u);
   EXPECT_TRUE(Only<Subscribe>(failed).empty());
-  EXPECT_EQ(Only<Subscribe>(proxy.Tick(Only<SetTimer>(failed)[0].in)).size(), 1u);
+  EXPECT_EQ(Only<Subscribe>(proxy.Tick(Only<SetTimer>(failed)[0].delay)).size(), 1u);
   EXPECT_NE(SentTo(proxy.Ask(1, 5)), "");  // the old list still serves
 }
 
@@ -216,16 +216,16 @@
 
 // Found on bris-booking-later: 60% of attempts got no connection, as every proxy held one at every server.
 TEST(ManyProxies, IdleConnectionsAreClosedWhereTheirPriceIsOverThatOfNewOnes) {
-  auto releases = [](int proxies) {
-    Settings settings = ManyProxies(proxies);
+  auto releases = [](int routers) {
+    Settings settings = ManyProxies(routers);
     settings.connection_price = settings.handshake_price = 0.03;
     settings.keepalive = 60s;
     Proxy proxy(settings);
     proxy.List(Fleet(12));
     proxy.Ask(1, 5);
     auto actions = proxy.Answer(1, Result::kGood);
-    if (Only<Release>(actions).empty()) actions = proxy.Tick(20s);
-    return std::pair(Only<Release>(actions).size(), proxy.now == TimePoint{100s});
+    if (Only<CloseIdleConnections>(actions).empty()) actions = proxy.Tick(20s);
+    return std::pair(Only<CloseIdleConnections>(actions).size(), proxy.now == TimePoint{100s});
   };
   EXPECT_EQ(releases(500), std::pair(std::size_t{1}, true));  // at once
   EXPECT_EQ(releases(120), std::pair(std::size_t{1}, true));
@@ -247,8 +247,8 @@
 // Found on bris-booking-later big-2: a time-out's own retry doubled the load of a slowed fleet. And on
 // athens-push: half of the time for a first try loses more to work begun anew than second tries bring.
 TEST(Attempts, AnAttemptLastsAsLongAsItsClientWaits) {
-  for (int proxies : {1, 500}) {
-    Proxy proxy(ManyProxies(proxies));
+  for (int routers : {1, 500}) {
+    Proxy proxy(ManyProxies(routers));
     proxy.List(Fleet(12));
     EXPECT_EQ(Only<Send>(proxy.Ask(1, 5)).at(0).give_up_after, 1s);
   }
@@ -262,7 +262,7 @@
   while (!SentTo(proxy.Ask(id, id)).empty()) ++id;  // the bound is reached: held
   auto timers = Only<SetTimer>(proxy.all);
   ASSERT_FALSE(timers.empty());
-  auto early = proxy.Tick(timers.back().in - 349ns);
+  auto early = proxy.Tick(timers.back().delay - 349ns);
   EXPECT_FALSE(Only<SetTimer>(early).empty());
 }
 
--- a/tests/trials_test.cpp
+++ b/tests/shared_trials_test.cpp
@@ -13,13 +13,13 @@
     Answer(id, Result::kGood);
   }
   // Asks for the dead server's key until it is ejected; what is asked of the fleet is told.
-  std::vector<Trial> Kill() {
+  std::vector<ReportTrial> Kill() {
     std::size_t before = all.size();
     for (int i = 0; i < 6 && SentTo(Ask(++id, 5)) == dead; ++i) {
       Answer(id, Result::kNoConn);
       Answer(id, Result::kGood);
     }
-    return Only<Trial>({all.begin() + static_cast<std::ptrdiff_t>(before), all.end()});
+    return Only<ReportTrial>({all.begin() + static_cast<std::ptrdiff_t>(before), all.end()});
   }
   bool Goes() {
     bool there = SentTo(Ask(++id, 5)) == dead;
@@ -27,7 +27,7 @@
     if (there) Answer(id, Result::kGood);
     return there;
   }
-  std::vector<Action> Say(TrialWord word) { return Take(TrialEvent{ServerId{dead}, word}); }
+  std::vector<Action> Say(TrialDirective word) { return Take(TrialEvent{ServerId{dead}, word}); }
 
   unsigned id = 0;
   std::string dead;
@@ -42,31 +42,31 @@
 
 TEST(SharedTrials, AnEjectedServerIsNotTriedBeforeTheFleetSaysSo) {
   Shared proxy;
-  std::vector<Trial> asked = proxy.Kill();
+  std::vector<ReportTrial> asked = proxy.Kill();
   ASSERT_EQ(asked.size(), 1u);
   EXPECT_EQ(asked[0].server.name, proxy.dead);
-  EXPECT_FALSE(asked[0].good);
+  EXPECT_FALSE(asked[0].healthy);
   proxy.now += 60s;
   EXPECT_FALSE(proxy.Goes());
-  proxy.Say(TrialWord::kTry);
+  proxy.Say(TrialDirective::kTry);
   SentTo(proxy.Ask(++proxy.id, 5));
   EXPECT_NE(SentTo(proxy.Ask(++proxy.id, 5)), proxy.dead);  // one request at a time is its trial
   proxy.Answer(proxy.id - 1, Result::kNoConn);
-  EXPECT_EQ(Only<Trial>(proxy.all).size(), 2u);
+  EXPECT_EQ(Only<ReportTrial>(proxy.all).size(), 2u);
   EXPECT_FALSE(proxy.Goes());
-  proxy.Say(TrialWord::kTry);
+  proxy.Say(TrialDirective::kTry);
   EXPECT_EQ(SentTo(proxy.Ask(++proxy.id, 5)), proxy.dead);
-  auto told = Only<Trial>(proxy.Answer(proxy.id, Result::kGood));
+  auto told = Only<ReportTrial>(proxy.Answer(proxy.id, Result::kGood));
   ASSERT_EQ(told.size(), 1u);
-  EXPECT_TRUE(told[0].good);
-  EXPECT_EQ(proxy.balancer.avoided(), 0u);
+  EXPECT_TRUE(told[0].healthy);
+  EXPECT_EQ(proxy.balancer.unavailable(), 0u);
 }
 
 TEST(SharedTrials, ATrialThatIsGivenToAnotherIsNotMade) {
   Shared proxy;
   proxy.Kill();
-  proxy.Say(TrialWord::kTry);
-  proxy.Say(TrialWord::kWait);
+  proxy.Say(TrialDirective::kTry);
+  proxy.Say(TrialDirective::kWait);
   proxy.now += 60s;
   EXPECT_FALSE(proxy.Goes());
 }
@@ -74,11 +74,11 @@
 TEST(SharedTrials, AServerBroughtBackByAnotherIsEjectedByOneFailure) {
   Shared proxy;
   proxy.Kill();
-  proxy.Say(TrialWord::kBack);
-  EXPECT_EQ(proxy.balancer.avoided(), 0u);
+  proxy.Say(TrialDirective::kReadmit);
+  EXPECT_EQ(proxy.balancer.unavailable(), 0u);
   EXPECT_TRUE(proxy.Goes());
-  EXPECT_EQ(proxy.balancer.avoided(), 1u);
-  EXPECT_EQ(Only<Trial>(proxy.all).size(), 2u);
+  EXPECT_EQ(proxy.balancer.unavailable(), 1u);
+  EXPECT_EQ(Only<ReportTrial>(proxy.all).size(), 2u);
 }
 
 // A proxy that alone does not reach a server: for all others it is fine, so nobody else's trial tells it.
@@ -88,7 +88,7 @@
   int there = 0;
   for (int i = 0; i < 600; ++i) {  // a minute, in which the fleet brings it back ten times a second
     proxy.now += 100ms;
-    proxy.Say(TrialWord::kBack);
+    proxy.Say(TrialDirective::kReadmit);
     there += proxy.Goes() ? 1 : 0;
   }
   EXPECT_GE(there, 6);
@@ -103,28 +103,28 @@
 
 TEST(SharedTrials, AProxyThatHasNotEjectedTellsItsNextOutcome) {
   Shared proxy;
-  EXPECT_TRUE(Only<Trial>(proxy.Say(TrialWord::kTry)).empty());
+  EXPECT_TRUE(Only<ReportTrial>(proxy.Say(TrialDirective::kTry)).empty());
   EXPECT_EQ(SentTo(proxy.Ask(++proxy.id, 5)), proxy.dead);
-  auto told = Only<Trial>(proxy.Answer(proxy.id, Result::kGood));
+  auto told = Only<ReportTrial>(proxy.Answer(proxy.id, Result::kGood));
   ASSERT_EQ(told.size(), 1u);
-  EXPECT_TRUE(told[0].good);
-  proxy.Say(TrialWord::kTry);
+  EXPECT_TRUE(told[0].healthy);
+  proxy.Say(TrialDirective::kTry);
   proxy.Ask(++proxy.id, 5);
-  told = Only<Trial>(proxy.Answer(proxy.id, Result::kReset));
+  told = Only<ReportTrial>(proxy.Answer(proxy.id, Result::kReset));
   ASSERT_EQ(told.size(), 1u);
-  EXPECT_FALSE(told[0].good);
+  EXPECT_FALSE(told[0].healthy);
 }
 
 TEST(SharedTrials, AServerThatOthersHaveEjectedIsEjectedByOneFailure) {
   Shared proxy;
-  proxy.Say(TrialWord::kWait);
+  proxy.Say(TrialDirective::kWait);
   EXPECT_TRUE(proxy.Goes());
-  EXPECT_EQ(proxy.balancer.avoided(), 1u);
+  EXPECT_EQ(proxy.balancer.unavailable(), 1u);
   Shared other;
-  other.Say(TrialWord::kWait);
-  other.Say(TrialWord::kBack);
+  other.Say(TrialDirective::kWait);
+  other.Say(TrialDirective::kReadmit);
   EXPECT_TRUE(other.Goes());
-  EXPECT_EQ(other.balancer.avoided(), 0u);
+  EXPECT_EQ(other.balancer.unavailable(), 0u);
 }
 
 TEST(SharedTrials, ATrialIsWhateverRequestComesNext) {
@@ -134,26 +134,26 @@
   std::string own = SentTo(proxy.Ask(++proxy.id, key));
   proxy.Answer(proxy.id, Result::kGood);
   ASSERT_NE(own, proxy.dead);
-  proxy.Say(TrialWord::kTry);
+  proxy.Say(TrialDirective::kTry);
   EXPECT_EQ(SentTo(proxy.Ask(++proxy.id, key)), proxy.dead);
   EXPECT_EQ(SentTo(proxy.Ask(++proxy.id, key)), own);  // one is enough
-  EXPECT_EQ(Only<Trial>(proxy.Answer(proxy.id - 1, Result::kGood)).size(), 1u);
+  EXPECT_EQ(Only<ReportTrial>(proxy.Answer(proxy.id - 1, Result::kGood)).size(), 1u);
   EXPECT_EQ(SentTo(proxy.Ask(++proxy.id, key)), own);
 }
 
 TEST(SharedTrials, AServerThatIsOutByWordIsNotAskedUntilItIsBack) {
   Shared proxy;
-  EXPECT_TRUE(Only<Trial>(proxy.Say(TrialWord::kOut)).empty());  // nothing was seen here
+  EXPECT_TRUE(Only<ReportTrial>(proxy.Say(TrialDirective::kEject)).empty());  // nothing was seen here
   proxy.now += 60s;
   EXPECT_FALSE(proxy.Goes());
-  proxy.Say(TrialWord::kBack);
+  proxy.Say(TrialDirective::kReadmit);
   EXPECT_TRUE(proxy.Goes());
 }
 
 TEST(SharedTrials, MostServersAreNotOutByWord) {
   Shared proxy;
-  for (const ServerEntry& entry : Fleet(6)) proxy.Take(TrialEvent{entry.id, TrialWord::kOut});
-  EXPECT_EQ(proxy.balancer.avoided(), 3u);
+  for (const ServerEntry& entry : Fleet(6)) proxy.Take(TrialEvent{entry.id, TrialDirective::kEject});
+  EXPECT_EQ(proxy.balancer.unavailable(), 3u);
 }
 
 TEST(SharedTrials, WithoutThemNothingIsAskedAndEachTriesForItself) {
--- a/tests/subscription_test.cpp
+++ b/tests/subscription_test.cpp
@@ -71,7 +71,7 @@
   void At(Duration in, What what) { due_.insert({proxy_.now + in, order_++, what}); }
 
   void Carry(const std::vector<Action>& actions) {
-    for (const SetTimer& timer : Only<SetTimer>(actions)) At(timer.in, What::kTimer);
+    for (const SetTimer& timer : Only<SetTimer>(actions)) At(timer.delay, What::kTimer);
     if (Only<Subscribe>(actions).empty()) return;
     calls.push_back(proxy_.now);
     Answer answer = answers_(proxy_.now);
@@ -85,11 +85,11 @@
   std::size_t order_ = 0;
 };
 
-Settings Subscribing(Duration ask_every, int proxies = 1) {
+Settings Subscribing(Duration subscribe_interval, int routers = 1) {
   Settings settings = BasicSettings();
   settings.must_subscribe = true;
-  settings.ask_every = ask_every;
-  settings.proxies = proxies;
+  settings.subscribe_interval = subscribe_interval;
+  settings.routers = routers;
   return settings;
 }
 
@@ -99,11 +99,12 @@
 // in time.
 TEST(Subscription, ACallBeginsInTimeWheneverDiscoveryReturns) {
   const Duration fails_after[] = {0s, 300ms, 1200ms, 3s};
-  for (Duration ask_every : kAskEvery) {
+  for (Duration subscribe_interval : kAskEvery) {
     for (Duration after : fails_after) {
       for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        SCOPED_TRACE(testing::Message() << ask_every.count() << " ns, " << after.count() << " ns, " << seed);
-        Discovery discovery(Subscribing(ask_every), seed, [&](TimePoint) {
+        SCOPED_TRACE(testing::Message()
+                     << subscribe_interval.count() << " ns, " << after.count() << " ns, " << seed);
+        Discovery discovery(Subscribing(subscribe_interval), seed, [&](TimePoint) {
           return Discovery::Answer{false, after};
         });
         TimePoint from = discovery.now() + 1s, end = from + 60s;
@@ -117,10 +118,11 @@
 
 // Of those that call at once at its return discovery turns some away: these are to have another try in time.
 TEST(Subscription, ACallThatIsTurnedAwayAtTheReturnIsRepeatedInTime) {
-  for (Duration ask_every : kAskEvery) {
+  for (Duration subscribe_interval : kAskEvery) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-      SCOPED_TRACE(testing::Message() << ask_every.count() << " ns, " << seed);
-      Discovery discovery(Subscribing(ask_every), seed, [](TimePoint) { return Discovery::Answer{}; });
+      SCOPED_TRACE(testing::Message() << subscribe_interval.count() << " ns, " << seed);
+      Discovery discovery(Subscribing(subscribe_interval), seed,
+                          [](TimePoint) { return Discovery::Answer{}; });
       TimePoint from = discovery.now() + 1s, end = from + 60s;
       discovery.RunUntil(end);
       for (TimePoint back = from; back + kToldAfter < end; back += 100ms)
@@ -134,12 +136,12 @@
 TEST(Subscription, NoFailureLeadsToATightLoop) {
   const Discovery::Answer kinds[] = {
       {}, {true, 0s, 0s}, {true, 10ms, 0s}, {true, 0s, 10ms}, {true, 0s, 900ms}};
-  for (Duration ask_every : {Duration(0s), Duration(10s)}) {
+  for (Duration subscribe_interval : {Duration(0s), Duration(10s)}) {
     for (const Discovery::Answer& answer : kinds) {
       for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         SCOPED_TRACE(testing::Message()
-                     << ask_every.count() << " ns, seed " << seed << ", " << answer.watch.count());
-        Discovery discovery(Subscribing(ask_every), seed, [&](TimePoint) { return answer; });
+                     << subscribe_interval.count() << " ns, seed " << seed << ", " << answer.watch.count());
+        Discovery discovery(Subscribing(subscribe_interval), seed, [&](TimePoint) { return answer; });
         discovery.RunUntil(discovery.now() + 60s);
         EXPECT_LE(discovery.calls.size(), 52u);  // 1.5 s apart in the mean, and a few at first
         for (TimePoint failure : discovery.failures) {
@@ -189,13 +191,13 @@
 
 // However many routers there are, none waits long at its start with a list that may be old or empty.
 TEST(Subscription, TheFirstCallIsMadeSoon) {
-  for (int proxies : {1, 300, 3000, 100000}) {
+  for (int routers : {1, 300, 3000, 100000}) {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-      Discovery discovery(Subscribing(10s, proxies), seed, [](TimePoint) { return Discovery::Answer{true}; });
+      Discovery discovery(Subscribing(10s, routers), seed, [](TimePoint) { return Discovery::Answer{true}; });
       TimePoint started = discovery.now();
       discovery.RunUntil(started + 60s);
       ASSERT_EQ(discovery.calls.size(), 1u);
-      EXPECT_LE(discovery.calls[0] - started, 2s) << proxies;
+      EXPECT_LE(discovery.calls[0] - started, 2s) << routers;
     }
   }
 }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -37,14 +37,14 @@
   ASSERT_EQ(settings.classes.size(), 2u);
   EXPECT_EQ(settings.classes[0].aim, std::chrono::milliseconds(500));
   EXPECT_EQ(settings.classes[1].effect, Effect::kKeyed);
-  EXPECT_EQ(settings.classes[1].group, Group::kZone);
+  EXPECT_EQ(settings.classes[1].dedup_group, DedupGroup::kZone);
   EXPECT_EQ(settings.try_limit, 4);
-  EXPECT_TRUE(settings.aside);
+  EXPECT_TRUE(settings.cache_aside);
   EXPECT_FALSE(settings.must_subscribe);
   EXPECT_DOUBLE_EQ(settings.start_capacity, 0.3);
   EXPECT_FALSE(settings.attempt_window.has_value());
-  EXPECT_EQ(settings.index, -1);
-  EXPECT_EQ(ParseSettings("index=7 replicasOfMe=30").index, 7);
+  EXPECT_EQ(settings.router_index, -1);
+  EXPECT_EQ(ParseSettings("index=7 replicasOfMe=30").router_index, 7);
   settings = ParseSettings(
       "rules.countedOver=10000000000 rules.freeResends=1 rules.extraPerRequest=0.1 "
       "tariffs.connection=0.05 tariffs.handshake=0.03 ceilings.keepalive=5000000000");
@@ -147,13 +147,13 @@
   };
   RequestId id{7};
   EXPECT_EQ(line(Send{id, {"n"}, Duration(80)}), "TRANSMIT i=5 tid=7 node=n giveUpAfter=80\n");
-  EXPECT_EQ(line(Refuse{id, Duration(30)}), "REFUSE i=5 tid=7 backoff=30\n");
-  EXPECT_EQ(line(Refuse{id, {}}), "REFUSE i=5 tid=7\n");
+  EXPECT_EQ(line(Reject{id, Duration(30)}), "REFUSE i=5 tid=7 backoff=30\n");
+  EXPECT_EQ(line(Reject{id, {}}), "REFUSE i=5 tid=7\n");
   EXPECT_EQ(line(Fail{id}), "REPORT_FAILURE i=5 tid=7\n");
   EXPECT_EQ(line(Cancel{id, 2}), "DROP_ATTEMPT i=5 tid=7 shot=2\n");
-  EXPECT_EQ(line(SetTimer{TimerMark{4}, Duration(9)}), "NOTIFY_ME i=5 mark=4 in=9\n");
+  EXPECT_EQ(line(SetTimer{TimerId{4}, Duration(9)}), "NOTIFY_ME i=5 mark=4 in=9\n");
   EXPECT_EQ(line(Subscribe{}), "KEEP_INFORMED i=5 want=1\n");
-  EXPECT_EQ(line(Release{{"n"}}), "RELEASE i=5 node=n\n");
+  EXPECT_EQ(line(CloseIdleConnections{{"n"}}), "RELEASE i=5 node=n\n");
   EXPECT_EQ(line(Log{"a b"}), "SAY_LOG i=5 text=a b\n");
 }
 
