--- a/src/benchlink/main.cpp
+++ b/src/benchlink/main.cpp
@@ -1,4 +1,5 @@
-// peatbend_benchlink: runs instances of the module on the simulator's wire, standard input to output.
+// peatbend_benchlink: runs Balancer instances for the simulator, with its line protocol on standard input and
+// output.
 #include <unistd.h>
 
 #include <cstdio>
@@ -23,15 +24,15 @@
 int Run() {
   peatbend::benchlink::Session session;
   std::string input, reply;
-  std::size_t start = 0;    // of the line being looked for
-  std::size_t scanned = 0;  // no newline before this
+  std::size_t start = 0;    // of the current line
+  std::size_t scanned = 0;  // no newline from start to here
   char buffer[1 << 16];
   for (;;) {
     ssize_t got = read(STDIN_FILENO, buffer, sizeof buffer);
     if (got <= 0) break;
     input.append(buffer, static_cast<std::size_t>(got));
     for (std::size_t end; (end = input.find('\n', scanned)) != std::string::npos;) {
-      if (session.TakeLine(std::string_view(input).substr(start, end - start), reply)) {
+      if (session.HandleLine(std::string_view(input).substr(start, end - start), reply)) {
         if (!WriteAll(reply)) return 1;
         reply.clear();
       }
--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -8,8 +8,8 @@
 namespace peatbend::benchlink {
 namespace {
 
-constexpr std::uint64_t kMaxList = 15;           // list numbers run from 0 to this
-constexpr std::uint64_t kMaxToken = 1ULL << 63;  // tokens run from 0 to this
+constexpr std::uint64_t kMaxListNumber = 15;     // largest list number
+constexpr std::uint64_t kMaxToken = 1ULL << 63;  // largest token
 
 template <typename T>
 void AppendNumber(std::string& out, T value) {
@@ -78,7 +78,7 @@
   out.push_back('\n');
 }
 
-// The name=value parts of one line.
+// The name=value fields of one line.
 class Session::Fields {
  public:
   Fields(const Session& session, std::string_view rest) : session_(session) {
@@ -86,7 +86,7 @@
       std::size_t end = rest.find(' ');
       std::string_view part = rest.substr(0, end);
       std::size_t equals = part.find('=');
-      if (equals == std::string_view::npos || equals == 0) session_.Bad("name=value", part);
+      if (equals == std::string_view::npos || equals == 0) session_.ThrowMalformed("name=value", part);
       std::string_view name = part.substr(0, equals);
       Add(name, part.substr(equals + 1));
       rest.remove_prefix(end == std::string_view::npos ? rest.size() : end + 1);
@@ -95,31 +95,31 @@
 
   std::string_view Text(std::string_view name) const {
     const std::string_view* value = Find(name);
-    if (value == nullptr) session_.Bad(std::string("field ").append(name), "none");
+    if (value == nullptr) session_.ThrowMalformed(std::string("field ").append(name), "none");
     return *value;
   }
-  std::string_view TextOr(std::string_view name, std::string_view other) const {
+  std::string_view TextOr(std::string_view name, std::string_view fallback) const {
     const std::string_view* value = Find(name);
-    return value == nullptr ? other : *value;
+    return value == nullptr ? fallback : *value;
   }
   template <typename T>
-  T Number(std::string_view name, T low, T high, int base = 10) const {
+  T Number(std::string_view name, T min, T max, int base = 10) const {
     T value{};
     std::string_view text = Text(name);
-    if (!ParseNumber(text, value, base) || value < low || value > high) {
-      session_.Bad(std::string(name).append(" in range"), text);
+    if (!ParseNumber(text, value, base) || value < min || value > max) {
+      session_.ThrowMalformed(std::string(name).append(" in range"), text);
     }
     return value;
   }
   template <typename T>
-  T NumberOr(std::string_view name, T other, T low, T high) const {
-    return Find(name) == nullptr ? other : Number<T>(name, low, high);
+  T NumberOr(std::string_view name, T fallback, T min, T max) const {
+    return Find(name) == nullptr ? fallback : Number<T>(name, min, max);
   }
   bool Has(std::string_view name) const { return Find(name) != nullptr; }
-  std::int64_t Time(std::string_view name) const {
+  std::int64_t NonNegative(std::string_view name) const {
     return Number<std::int64_t>(name, 0, std::numeric_limits<std::int64_t>::max());
   }
-  std::int64_t TimeOr(std::string_view name) const { return Has(name) ? Time(name) : 0; }
+  std::int64_t NonNegativeOrZero(std::string_view name) const { return Has(name) ? NonNegative(name) : 0; }
   std::uint64_t Instance() const {
     return Number<std::uint64_t>("i", 0, std::numeric_limits<std::uint64_t>::max());
   }
@@ -129,7 +129,7 @@
 
  private:
   void Add(std::string_view name, std::string_view value) {
-    if (count_ == kMost) session_.Bad("fewer fields", name);
+    if (count_ == kMaxFields) session_.ThrowMalformed("fewer fields", name);
     names_[count_] = name;
     values_[count_++] = value;
   }
@@ -139,42 +139,42 @@
     }
     return nullptr;
   }
-  static constexpr std::size_t kMost = 32;
+  static constexpr std::size_t kMaxFields = 32;
   const Session& session_;
-  std::string_view names_[kMost];
-  std::string_view values_[kMost];
+  std::string_view names_[kMaxFields];
+  std::string_view values_[kMaxFields];
   std::size_t count_ = 0;
 };
 
-void Session::Bad(std::string_view expected, std::string_view found) const {
+void Session::ThrowMalformed(std::string_view expected, std::string_view found) const {
   std::string text = "line ";
   AppendNumber(text, line_);
   text.append(": expected ").append(expected).append(", found ").append(found.substr(0, 80));
   throw WireError(text);
 }
 
-bool Session::TakeLine(std::string_view line, std::string& reply) {
+bool Session::HandleLine(std::string_view line, std::string& reply) {
   ++line_;
   std::string_view rest = line;
   std::string_view name = Cut(rest, ' ');
   if (name.empty() && rest.empty()) {
-    if (in_batch_) Bad("an event or END", "an empty line");
+    if (in_batch_) ThrowMalformed("an event or END", "an empty line");
     return false;
   }
-  if (rows_left_ > 0 && name != "ROW") Bad("ROW", name);
+  if (rows_left_ > 0 && name != "ROW") ThrowMalformed("ROW", name);
   if (!in_batch_) {
-    if (name != "BEGIN_BATCH") Bad("BEGIN_BATCH", name);
+    if (name != "BEGIN_BATCH") ThrowMalformed("BEGIN_BATCH", name);
     Fields fields(*this, rest);
-    TimePoint now{Duration(fields.Time("atTime"))};
-    if (now < now_) Bad("atTime not before the last batch's", fields.Text("atTime"));
+    TimePoint now{Duration(fields.NonNegative("atTime"))};
+    if (now < now_) ThrowMalformed("atTime not before the last batch's", fields.Text("atTime"));
     now_ = now;
-    turn_ = static_cast<std::uint64_t>(fields.Time("turn"));
+    batch_turn_ = static_cast<std::uint64_t>(fields.NonNegative("turn"));
     in_batch_ = true;
     return false;
   }
   if (name == "END") {
     reply.append("FINISHED turn=");
-    AppendNumber(reply, turn_);
+    AppendNumber(reply, batch_turn_);
     reply.push_back('\n');
     in_batch_ = false;
     return true;
@@ -184,13 +184,13 @@
     return false;
   }
   Fields fields(*this, rest);
-  TakeEvent(name, fields, reply);
+  HandleEvent(name, fields, reply);
   return false;
 }
 
 void Session::Deliver(std::uint64_t instance, const Event& event, std::string& reply) {
   auto at = instances_.find(instance);
-  if (at == instances_.end()) return;  // killed, or never started here
+  if (at == instances_.end()) return;  // the instance was halted or never started
   actions_.clear();
   try {
     at->second->Handle(now_, event, actions_);
@@ -202,16 +202,16 @@
   for (const Action& action : actions_) AppendAction(reply, instance, action);
 }
 
-// The settings' pairs follow the line's own fields, unnamed; neither looks like the other.
+// An INIT line has the fields i and prng, followed by the settings as path=value pairs.
 void Session::StartInstance(std::string_view rest, std::string& reply) {
-  std::string_view own = rest;
+  std::string_view line_fields = rest;
   for (std::size_t end = 0; end != std::string_view::npos; end = rest.find(' ', end + 1)) {
     std::string_view part = rest.substr(end == 0 ? 0 : end + 1);
     if (part.starts_with("i=") || part.starts_with("prng=")) continue;
-    own = rest.substr(0, end);
+    line_fields = rest.substr(0, end);
     break;
   }
-  Fields fields(*this, own);
+  Fields fields(*this, line_fields);
   std::uint64_t instance = fields.Instance();
   auto seed = fields.Number<std::uint64_t>("prng", 0, kMaxToken);
   try {
@@ -224,37 +224,37 @@
   }
 }
 
-void Session::TakeEvent(std::string_view name, Fields& fields, std::string& reply) {
-  constexpr int kIndex = 1 << 20;  // no class, tenant, zone or cell number is larger
+void Session::HandleEvent(std::string_view name, Fields& fields, std::string& reply) {
+  constexpr int kMaxIndex = 1 << 20;  // largest class, tenant, zone or cell number
   if (name == "NEW_REQUEST") {
     RequestEvent event;
     event.id = fields.Request();
     if (fields.Has("object")) {
       event.key = Key{fields.Number<std::uint64_t>("object", 0, ~0ULL, 16)};
     }
-    event.tenant = fields.NumberOr<int>("account", 0, 0, kIndex);
-    event.cls = fields.Number<int>("kind", 0, kIndex);
+    event.tenant = fields.NumberOr<int>("account", 0, 0, kMaxIndex);
+    event.cls = fields.Number<int>("kind", 0, kMaxIndex);
     event.write = fields.NumberOr<int>("update", 0, 0, 1) == 1;
     event.retry = fields.NumberOr<int>("retry", 0, 0, 1) == 1;
-    event.work_hint = Duration(fields.TimeOr("estimate"));
-    event.remaining = Duration(fields.Time("remaining"));
+    event.work_hint = Duration(fields.NonNegativeOrZero("estimate"));
+    event.remaining = Duration(fields.NonNegative("remaining"));
     Deliver(fields.Instance(), event, reply);
   } else if (name == "RESULT") {
     OutcomeEvent event;
     event.id = fields.Request();
-    event.attempt = fields.Number<int>("shot", 0, kIndex);
+    event.attempt = fields.Number<int>("shot", 0, kMaxIndex);
     event.server = fields.Text("node");
-    std::string_view word = fields.Text("outcome");
+    std::string_view outcome = fields.Text("outcome");
     bool known = false;
     for (const auto& [text, result] : kResults) {
-      if (word == text) {
+      if (outcome == text) {
         event.result = result;
         known = true;
       }
     }
-    if (!known) Bad("a known outcome", word);
-    event.cache_status = static_cast<CacheStatus>(fields.NumberOr<int>("info", 0, 0, kIndex));
-    event.elapsed = Duration(fields.TimeOr("delaySeen"));
+    if (!known) ThrowMalformed("a known outcome", outcome);
+    event.cache_status = static_cast<CacheStatus>(fields.NumberOr<int>("info", 0, 0, kMaxIndex));
+    event.elapsed = Duration(fields.NonNegativeOrZero("delaySeen"));
     event.done = fields.NumberOr<int>("doneFlag", 0, 0, 1) == 1;
     event.load = ParseLoadReport(fields.TextOr("telemetry", ""));
     Deliver(fields.Instance(), event, reply);
@@ -264,38 +264,39 @@
   } else if (name == "HANGUP") {
     Deliver(fields.Instance(), ClientGoneEvent{fields.Request()}, reply);
   } else if (name == "ACCEPTED") {
-    Deliver(fields.Instance(), StreamStartEvent{fields.Request(), fields.Number<int>("shot", 0, kIndex)},
+    Deliver(fields.Instance(), StreamStartEvent{fields.Request(), fields.Number<int>("shot", 0, kMaxIndex)},
             reply);
   } else if (name == "MANIFEST") {
-    filling_ = &lists_[fields.Number<std::uint64_t>("buffer", 0, kMaxList)];
-    filling_->clear();
+    current_list_ = &server_lists_[fields.Number<std::uint64_t>("buffer", 0, kMaxListNumber)];
+    current_list_->clear();
     rows_left_ = fields.Number<std::uint64_t>("elements", 0, ~0ULL);
   } else if (name == "ROW") {
-    if (rows_left_ == 0) Bad("no ROW beyond those counted", name);
+    if (rows_left_ == 0) ThrowMalformed("no ROW beyond those counted", name);
     --rows_left_;
     ServerEntry entry;
     entry.state = static_cast<ServerState>(fields.Number<int>("condition", 0, 2));
     entry.id = ServerId{std::string(fields.Text("node"))};
-    if (entry.id.name.empty()) Bad("a node's name", "nothing");
-    entry.kind = fields.NumberOr<int>("kind", 0, 0, kIndex);
-    entry.cell = fields.NumberOr<int>("group", 0, 0, kIndex);
-    entry.zone = fields.NumberOr<int>("area", 0, 0, kIndex);
-    entry.started = TimePoint(Duration(fields.TimeOr("readyAt")));
+    if (entry.id.name.empty()) ThrowMalformed("a node's name", "nothing");
+    entry.kind = fields.NumberOr<int>("kind", 0, 0, kMaxIndex);
+    entry.cell = fields.NumberOr<int>("group", 0, 0, kMaxIndex);
+    entry.zone = fields.NumberOr<int>("area", 0, 0, kMaxIndex);
+    entry.started = TimePoint(Duration(fields.NonNegativeOrZero("readyAt")));
     entry.weight = fields.NumberOr<double>("heft", 1, 0, 1e9);
-    filling_->push_back(std::move(entry));
+    current_list_->push_back(std::move(entry));
   } else if (name == "REGISTRY") {
     MembershipEvent event;
     event.scope = static_cast<Scope>(fields.Number<int>("scope", 0, 3));
     if (event.scope != Scope::kFailed) {
-      auto list = lists_.find(fields.Number<std::uint64_t>("buffer", 0, kMaxList));
-      if (list == lists_.end()) Bad("a buffer that a MANIFEST filled", fields.Text("buffer"));
+      auto list = server_lists_.find(fields.Number<std::uint64_t>("buffer", 0, kMaxListNumber));
+      if (list == server_lists_.end())
+        ThrowMalformed("a buffer that a MANIFEST filled", fields.Text("buffer"));
       event.entries = list->second;
     }
     Deliver(fields.Instance(), event, reply);
   } else if (name == "HALT") {
     instances_.erase(fields.Instance());
-  } else if (name != "SAMPLED" && name != "MESSAGE") {  // neither probes nor messages are sent
-    Bad("a known event", name);
+  } else if (name != "SAMPLED" && name != "MESSAGE") {  // no instance asks for probes or sends messages
+    ThrowMalformed("a known event", name);
   }
 }
 
--- a/src/module/queueing.cpp
+++ b/src/module/queueing.cpp
@@ -1,56 +1,60 @@
-// Requests held for a server without room, and for how long.
+// Requests that wait for room at a server or for another request's fetch, and for how long they wait.
 #include "module/balancer_impl.h"
 
 namespace peatbend {
 
-// Of the aim: wait for the own server before an alternate; then refused, if a late answer earns nothing.
-constexpr double kHoldHome = 0.25, kHoldMost = 0.6;
-constexpr double kHoldUnsent = 0.47;  // of its time, what no server has seen is held at most
+// Shares of the aim: the wait for the own server before an alternate is used; the whole wait, if a late
+// answer earns nothing.
+constexpr double kHomeWaitShare = 0.25, kMaxWaitShare = 0.6;
+// Share of its time that a request waits at most while no server has seen it.
+constexpr double kMaxUnsentWaitShare = 0.47;
 
-// Until when a request may be held for a server, or for another's fetch from it.
-TimePoint Balancer::Impl::HeldUntil(const Request& request, const Server& server) const {
-  const ClassSettings& cls = set_.classes[request.cls];
-  TimePoint latest = request.deadline - 2 * set_.tick;
-  if (cls.late_share <= 0) latest = std::min(latest, request.arrived + Scale(cls.aim, kHoldMost));
-  // What would be sent too late to be answered is not sent: it would only time out.
-  double needs = server.origin ? server.base : kTimeNeeded * ZoneOf(server).usual;
-  latest = std::min(latest, request.deadline - Nanos(needs));
-  // Nor does a client wait in vain for what no server has seen: it is told while it can still ask again.
-  bool unsent = std::ranges::none_of(request.attempts, &Attempt::reached);
-  Duration half = Scale(request.deadline - request.arrived, kHoldUnsent);
-  return unsent ? std::min(latest, request.arrived + half) : latest;
+// Until when a request may wait for a server, or for another request's fetch from it.
+TimePoint Balancer::Impl::WaitDeadline(const Request& request, const Server& server) const {
+  const ClassSettings& cls = settings_.classes[request.cls];
+  TimePoint latest = request.deadline - 2 * settings_.tick;
+  if (cls.late_share <= 0) latest = std::min(latest, request.arrived + Scale(cls.aim, kMaxWaitShare));
+  // A request sent too late to be answered would only time out.
+  double needed = server.origin ? server.base_latency : kCacheLatencyMargin * ZoneLatencyOf(server).median;
+  latest = std::min(latest, request.deadline - FromNanoseconds(needed));
+  // A request that no server has seen is rejected while its client still has time for a retry.
+  bool unsent = std::ranges::none_of(request.attempts, &Attempt::reached_server);
+  Duration unsent_wait = Scale(request.deadline - request.arrived, kMaxUnsentWaitShare);
+  return unsent ? std::min(latest, request.arrived + unsent_wait) : latest;
 }
 
-// Holds a request for a server without room; the most worth goes first when there is some.
+// Queues a request for a server without room. When there is room, the queue is sent in the order of QueueKey.
 void Balancer::Impl::Enqueue(Request& request, int index) {
-  TimePoint latest = HeldUntil(request, servers_[index]);
-  if (now_ >= latest) return End(request);
-  bool cache = !servers_[index].origin && !request.waited;
-  Duration home = Scale(set_.classes[request.cls].aim, kHoldHome);
-  Hold(request, cache ? std::min(latest, now_ + home) : latest);
-  request.held_for = index;
-  request.queued = ++sequence_;
-  servers_[index].queue.insert(Rank(request));
-  PumpLater(index);
+  TimePoint latest = WaitDeadline(request, servers_[index]);
+  if (now_ >= latest) return RejectOrFail(request);
+  bool may_go_elsewhere = !servers_[index].origin && !request.has_waited;
+  Duration home_wait = Scale(settings_.classes[request.cls].aim, kHomeWaitShare);
+  WakeAt(request, may_go_elsewhere ? std::min(latest, now_ + home_wait) : latest);
+  request.waiting_server = index;
+  request.queue_number = ++queue_sequence_;
+  servers_[index].queue.insert(QueueKeyOf(request));
+  ScheduleQueue(index);
 }
 
-void Balancer::Impl::Pump(int index) {
+void Balancer::Impl::SendQueued(int index) {
   while (!servers_[index].queue.empty() && HasRoom(servers_[index])) {
     Request& request = requests_.at(std::get<3>(*servers_[index].queue.begin()));
-    Unqueue(request);
+    StopQueueing(request);
     bool origin = servers_[index].origin;
-    bool usable = !origin && Usable(request, index);
-    request.waited = request.waited || !usable;
-    usable ? SendTo(request, index) : origin ? AskOrigin(request) : ToCache(request);
+    bool usable = !origin && IsUsable(request, index);
+    request.has_waited = request.has_waited || !usable;
+    usable ? SendTo(request, index) : origin ? RouteToOrigin(request) : RouteToCache(request);
   }
 }
 
-void Balancer::Impl::Requeue(Request& request) {
-  bool origin = request.held_for >= 0 && servers_[request.held_for].origin;
-  Unqueue(request);
-  if (origin) return End(request);
-  request.waited = true;
-  ToCache(request);
+// Ends a wait, because its time is over or the server is no longer ready: the request goes to an alternate,
+// or is rejected if it waited for the origin.
+void Balancer::Impl::StopWaiting(Request& request) {
+  bool origin = request.waiting_server >= 0 && servers_[request.waiting_server].origin;
+  StopQueueing(request);
+  if (origin) return RejectOrFail(request);
+  request.has_waited = true;
+  RouteToCache(request);
 }
 
 }  // namespace peatbend
--- a/src/module/send_rules.cpp
+++ b/src/module/send_rules.cpp
@@ -1,48 +1,49 @@
-// The gate: what may be sent, and what may be said of it.
+// The rules that every send and every rejection must satisfy.
 #include "module/balancer_impl.h"
 
 namespace peatbend {
 
-// The attempt allowance, over the exact window: what lies at its very edge counts if it is a further
-// attempt and does not count if it is a request taken, so that no reading of the edge is broken.
-void Balancer::Impl::PruneAllowance() {
-  if (!set_.attempt_window) return;
-  TimePoint edge = now_ - *set_.attempt_window;
-  while (!taken_.empty() && taken_.front() <= edge) taken_.pop_front();
-  while (!further_.empty() && further_.front().first < edge) further_.pop_front();
+// Drops what has left the attempt window. At its very edge an extra attempt still counts and a request no
+// longer does, so that the limit holds whether the edge is read as part of the window or not.
+void Balancer::Impl::PruneAttemptWindow() {
+  if (!settings_.attempt_window) return;
+  TimePoint edge = now_ - *settings_.attempt_window;
+  while (!request_times_.empty() && request_times_.front() <= edge) request_times_.pop_front();
+  while (!extra_attempts_.empty() && extra_attempts_.front().first < edge) extra_attempts_.pop_front();
 }
 
-bool Balancer::Impl::Allowed(const Request& request) const {
-  if (!set_.attempt_window || request.attempts.empty() || request.free_send) return true;
-  double earned = set_.extra_per_request.value_or(0) * static_cast<double>(taken_.size());
-  return static_cast<double>(further_.size() + 1) <= set_.free_resends.value_or(0) + earned;
+bool Balancer::Impl::WithinAttemptLimit(const Request& request) const {
+  if (!settings_.attempt_window || request.attempts.empty() || request.next_send_exempt) return true;
+  double earned = settings_.extra_per_request.value_or(0) * static_cast<double>(request_times_.size());
+  return static_cast<double>(extra_attempts_.size() + 1) <= settings_.free_resends.value_or(0) + earned;
 }
 
-// When the next attempt must have begun: in its client's time, and, once an attempt may have run, while its
-// group discards repeats.
+// The latest time at which the next attempt may begin: before the deadline and, once an attempt of a keyed
+// request may have run, within the deduplication window.
 TimePoint Balancer::Impl::LatestStart(const Request& request) const {
-  const ClassSettings& cls = set_.classes[request.cls];
+  const ClassSettings& cls = settings_.classes[request.cls];
   TimePoint latest = request.deadline;
   for (const Attempt& attempt : request.attempts) {
     if (!attempt.may_have_run || cls.effect == Effect::kSafe) continue;
     bool keyed = cls.effect == Effect::kKeyed;
-    latest = std::min(latest, keyed ? attempt.sent + cls.dedup_window - set_.tick : TimePoint::min());
+    latest = std::min(latest, keyed ? attempt.sent + cls.dedup_window - settings_.tick : TimePoint::min());
   }
   return latest;
 }
 
-// Whether any further attempt may be sent, whatever the server.
-bool Balancer::Impl::MayGoOn(const Request& request) const {
+// Whether another attempt may be sent to any server.
+bool Balancer::Impl::MaySendAnother(const Request& request) const {
   if (request.streaming || now_ >= LatestStart(request)) return false;
-  if (static_cast<int>(request.attempts.size()) >= set_.try_limit || !Allowed(request)) return false;
-  bool copies = set_.concurrent_attempts && set_.classes[request.cls].effect == Effect::kSafe;
-  return copies || std::ranges::none_of(request.attempts, &Attempt::open);
+  if (static_cast<int>(request.attempts.size()) >= settings_.try_limit || !WithinAttemptLimit(request))
+    return false;
+  bool concurrent = settings_.concurrent_attempts && settings_.classes[request.cls].effect == Effect::kSafe;
+  return concurrent || std::ranges::none_of(request.attempts, &Attempt::in_flight);
 }
 
-// The gate: whether an attempt may be sent. Every send passes it.
-bool Balancer::Impl::LegalSend(const Request& request, const Server& server) const {
-  const ClassSettings& cls = set_.classes[request.cls];
-  if (server.state != ServerState::kReady || !MayGoOn(request)) return false;
+// Whether an attempt may be sent to this server. Checked before every send.
+bool Balancer::Impl::MaySendTo(const Request& request, const Server& server) const {
+  const ClassSettings& cls = settings_.classes[request.cls];
+  if (server.state != ServerState::kReady || !MaySendAnother(request)) return false;
   for (const Attempt& attempt : request.attempts) {
     if (!attempt.may_have_run || cls.effect == Effect::kSafe) continue;
     bool other_zone = attempt.zone != server.zone, other_cell = attempt.cell != server.cell;
@@ -53,9 +54,9 @@
   return true;
 }
 
-// The gate's other half: whether a refusal, which says that a retry is harmless, would be true.
-bool Balancer::Impl::LegalRefuse(const Request& request) const {
-  const ClassSettings& cls = set_.classes[request.cls];
+// Whether a rejection, which tells the client that a retry is safe, would be true.
+bool Balancer::Impl::MayReject(const Request& request) const {
+  const ClassSettings& cls = settings_.classes[request.cls];
   bool safe =
       cls.effect == Effect::kSafe || (cls.effect == Effect::kKeyed && cls.dedup_group == DedupGroup::kAll);
   return safe || std::ranges::none_of(request.attempts, &Attempt::may_have_run);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,3 +1,4 @@
+// The simulator's line protocol: settings, events, actions, malformed lines.
 #include "wire.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +18,7 @@
 
 std::string Feed(Session& session, const std::vector<std::string>& lines) {
   std::string reply;
-  for (const std::string& line : lines) session.TakeLine(line, reply);
+  for (const std::string& line : lines) session.HandleLine(line, reply);
   return reply;
 }
 
@@ -32,7 +33,7 @@
           ""};
 }
 
-TEST(Wire, SettingsComeThroughAndUnknownOnesArePassedOver) {
+TEST(Wire, SettingsAreParsedAndUnknownOnesIgnored) {
   Settings settings = ParseSettings(std::string_view(kInit).substr(5));
   ASSERT_EQ(settings.classes.size(), 2u);
   EXPECT_EQ(settings.classes[0].aim, std::chrono::milliseconds(500));
@@ -72,7 +73,7 @@
   EXPECT_NE(reply.find("TRANSMIT i=3 tid=9 node=node.o"), std::string::npos) << reply;
 }
 
-TEST(Wire, EventsForWhatIsNoLongerHeldArePassedOver) {
+TEST(Wire, EventsForUnknownRequestsAndInstancesAreIgnored) {
   Session session;
   Feed(session, Start());
   EXPECT_EQ(Feed(session, {"BEGIN_BATCH atTime=2000 turn=2", "HANGUP i=3 tid=77",
@@ -81,14 +82,13 @@
             "FINISHED turn=2\n");
 }
 
-TEST(Wire, BadSettingsPanicWithTheFieldsName) {
+TEST(Wire, InvalidSettingsPanicWithTheFieldsName) {
   Session session;
   std::string reply = Feed(session, {"BEGIN_BATCH atTime=1 turn=1", "INIT i=0 prng=1 tick=1", "END"});
-  EXPECT_NE(reply.find("PANIC i=0 text=settings: cannot be worked with: classes"), std::string::npos)
-      << reply;
+  EXPECT_NE(reply.find("PANIC i=0 text=settings: invalid value: classes"), std::string::npos) << reply;
 }
 
-TEST(Wire, AnAllowanceThatCannotBeWorkedWithPanics) {
+TEST(Wire, AnInvalidAttemptLimitPanics) {
   for (const char* bad : {"rules.countedOver=0 rules.freeResends=1", "rules.freeResends=1"}) {
     Session session;
     std::string reply = Feed(session, {"BEGIN_BATCH atTime=1 turn=1", std::string(kInit) + " " + bad, "END"});
@@ -97,7 +97,7 @@
   }
 }
 
-TEST(Wire, MessagesOfOtherProxiesArePassedOver) {
+TEST(Wire, MessagesOfOtherRoutersAreIgnored) {
   Session session;
   std::string reply =
       Feed(session, {"BEGIN_BATCH atTime=1 turn=1", kInit, "MESSAGE i=0 neighbour=2 data=0a1b2c3d",
@@ -117,7 +117,7 @@
       "REGISTRY i=3 scope=9 buffer=0",                        // out of range
       "REGISTRY i=3 scope=1 buffer=5",                        // never filled
       "MANIFEST buffer=16 elements=0",                        // out of range
-      "ROW condition=1 node=node.q",                          // not counted out
+      "ROW condition=1 node=node.q",                          // not announced by a MANIFEST
       "BEGIN_BATCH atTime=1 turn=1",                          // within a batch
       "WHATEVER i=3",                                         // unknown
   };
@@ -125,10 +125,10 @@
     Session session;
     Feed(session, Start());
     std::string reply;
-    session.TakeLine("BEGIN_BATCH atTime=2000 turn=2", reply);
+    session.HandleLine("BEGIN_BATCH atTime=2000 turn=2", reply);
     try {
-      session.TakeLine(line, reply);
-      ADD_FAILURE() << "taken: " << line;
+      session.HandleLine(line, reply);
+      ADD_FAILURE() << "accepted: " << line;
     } catch (const WireError& error) {
       EXPECT_EQ(std::string(error.what()).find("line 10: expected "), 0u) << error.what();
     }
@@ -136,7 +136,7 @@
   }
   Session session;
   std::string reply;
-  EXPECT_THROW(session.TakeLine("BELL i=3 mark=1", reply), WireError);  // outside a batch
+  EXPECT_THROW(session.HandleLine("BELL i=3 mark=1", reply), WireError);  // outside a batch
 }
 
 TEST(Wire, EveryActionHasItsLine) {
