--- a/tests/cold_server_test.cpp
+++ b/tests/cold_server_test.cpp
@@ -1,5 +1,5 @@
-// What a cache server in slow start gets from all proxies of a tier together: in no span of tip_after more
-// than it can take, and yet its part of the traffic. The proxies share nothing.
+// Slow start of a cache server, over all routers of a tier together: within any overload_duration it gets no
+// more than it can take, and yet its share of the traffic. The routers exchange no information.
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -12,78 +12,84 @@
 namespace peatbend {
 namespace {
 
-constexpr Duration kStep = 10ms, kAnswersIn = 20ms;
+constexpr Duration kStep = 10ms, kAnswerTime = 20ms;
 constexpr int kServers = 12;
-constexpr TimePoint kRestarted{200s};  // the cold server
-const std::string kCold = "cache-15";
+constexpr TimePoint kRestarted{200s};  // start of the cold server
+const std::string kColdServer = "cache-15";
 
-struct Load {
+struct Scenario {
   int routers = 3;
-  double capacity = 12;  // requests a second that a warm server can take
-  double use = 0.7;      // of the capacity of all of them
+  double capacity = 12;     // requests per second that a warm server can answer
+  double load_share = 0.7;  // offered load, as a share of the capacity of all servers
   double start_capacity = 0.14;
   Duration warm_after = 24s;
-  bool uneven = false;         // a fifth of the proxies get half of the traffic
-  bool idle_before = false;    // hardly any traffic until the burst
-  bool restart_all = false;    // all proxies start anew within the burst
-  bool restart_twice = false;  // the server starts once more
-  Duration burst_after{};      // from its start: for 2 s each proxy gets many requests for its keys
-  bool rare_keys = false;      // nobody asks for its keys until the burst
+  bool uneven = false;         // a fifth of the routers get half of the traffic
+  bool idle_before = false;    // 2% of the traffic until the burst
+  bool restart_all = false;    // all routers restart within the burst
+  bool restart_twice = false;  // the server restarts a second time
+  // When after the start a burst of 2 s begins, with many requests at each router for the keys of the server.
+  Duration burst_after{};
+  bool rare_keys = false;  // no requests for the keys of the server until the burst
 };
 
-Settings TierSettings(const Load& load, int index) {
+Settings TierSettings(const Scenario& scenario, int index) {
   Settings settings = BasicSettings();
-  settings.routers = load.routers;
+  settings.routers = scenario.routers;
   settings.router_index = index;
-  settings.start_capacity = load.start_capacity;
-  settings.warm_after = load.warm_after;
+  settings.start_capacity = scenario.start_capacity;
+  settings.warm_after = scenario.warm_after;
   return settings;
 }
 
 class Tier {
  public:
-  explicit Tier(const Load& load) : load_(load), random_(71) {
-    list_ = Fleet(kServers);
-    for (int index = 0; index < load.routers; ++index) StartProxy(index);
-    for (std::uint64_t key = 1; key < 5000; ++key) {  // as a warm server gets them
-      Proxy& probe = proxies_.front()->proxy;
-      bool its = SentTo(probe.Ask(++id_, key)) == kCold;
-      probe.Answer(id_, Result::kGood);
-      (its ? keys_ : others_).push_back(key);
+  explicit Tier(const Scenario& scenario) : scenario_(scenario), random_(71) {
+    list_ = MakeServerList(kServers);
+    for (int index = 0; index < scenario.routers; ++index) StartRouter(index);
+    for (std::uint64_t key = 1; key < 5000; ++key) {  // the keys that the server gets when warm
+      TestRouter& probe = routers_.front()->router;
+      bool for_cold_server = SentTo(probe.SendRequest(++id_, key)) == kColdServer;
+      probe.FinishAttempt(id_, Result::kGood);
+      (for_cold_server ? cold_keys_ : other_keys_).push_back(key);
     }
-    proxies_.clear();
-    for (int index = 0; index < load.routers; ++index) StartProxy(index);
+    routers_.clear();
+    for (int index = 0; index < scenario.routers; ++index) StartRouter(index);
   }
 
-  // Plays from a time before the server's start to the end of its warm-up.
-  void Play() {
+  // Runs from 15 s before the server's start to the end of its warm-up.
+  void Run() {
     now_ = kRestarted - 15s;
-    for (; now_ < std::min(Burst() + 4s, kRestarted + load_.warm_after); now_ += kStep) {
+    for (; now_ < std::min(BurstStart() + 4s, kRestarted + scenario_.warm_after); now_ += kStep) {
       if (now_ == kRestarted) RestartServer(kRestarted);
-      if (load_.restart_twice && now_ == kRestarted + 3s) RestartServer(now_);
-      if (load_.restart_all && now_ == Burst() + 100ms) {
-        for (int index = 0; index < load_.routers; ++index) StartProxy(index);
+      if (scenario_.restart_twice && now_ == kRestarted + 3s) RestartServer(now_);
+      if (scenario_.restart_all && now_ == BurstStart() + 100ms) {
+        for (int index = 0; index < scenario_.routers; ++index) StartRouter(index);
       }
-      bool burst = now_ >= Burst() && now_ < Burst() + 2s && (now_ - Burst()) % 100ms == 0ms;
-      if (burst) AskAllForItsKeys();
-      for (auto& one : proxies_) Step(*one);
+      bool burst = now_ >= BurstStart() && now_ < BurstStart() + 2s && (now_ - BurstStart()) % 100ms == 0ms;
+      if (burst) BurstForColdKeys();
+      for (auto& one : routers_) Step(*one);
     }
   }
 
-  // By how many sends it got too much in the worst span, which ends with a send; below zero: too few to
-  // matter.
+  // The largest excess of sends to the cold server over what it can take in any overload_duration that ends
+  // with a send; negative if the limit was always kept.
   double WorstExcess() const {
     double worst = -1e9;
-    for (std::size_t last = 0, first = 0; last < sent_.size(); ++last) {
-      while (sent_[first] <= sent_[last] - TierSettings(load_, 0).overload_duration) ++first;
+    for (std::size_t last = 0, first = 0; last < cold_sends_.size(); ++last) {
+      while (cold_sends_[first] <= cold_sends_[last] - TierSettings(scenario_, 0).overload_duration) ++first;
       double count = static_cast<double>(last - first + 1);
-      worst = std::max(worst, count - Bound(sent_[last] - TierSettings(load_, 0).overload_duration / 2));
+      worst = std::max(
+          worst, count - MaxSends(cold_sends_[last] - TierSettings(scenario_, 0).overload_duration / 2));
     }
     return worst;
   }
-  // Of the requests for its keys that were sent anywhere; the burst's are not counted.
-  double Share() const { return asked_ > 0 ? static_cast<double>(served_) / static_cast<double>(asked_) : 0; }
-  std::size_t sent() const { return sent_.size(); }
+  // Share of the requests for its keys that the cold server got, without those of the burst.
+  double Share() const {
+    return counted_requests_ > 0
+               ? static_cast<double>(counted_sends_) / static_cast<double>(counted_requests_)
+               : 0;
+  }
+  std::size_t sent() const { return cold_sends_.size(); }
 
  private:
   struct Answer {
@@ -91,233 +97,240 @@
     unsigned id = 0;
     Result result = Result::kGood;
   };
-  struct One {
-    explicit One(const Settings& settings, std::uint64_t seed) : proxy(settings, seed) {}
-    Proxy proxy;
+  struct RouterState {
+    explicit RouterState(const Settings& settings, std::uint64_t seed) : router(settings, seed) {}
+    TestRouter router;
     int index = 0;
     std::deque<Answer> answers;  // in order of time
-    std::priority_queue<TimePoint, std::vector<TimePoint>, std::greater<>> bells;
+    std::priority_queue<TimePoint, std::vector<TimePoint>, std::greater<>> timers;
   };
 
-  TimePoint Burst() const { return kRestarted + load_.burst_after; }
+  TimePoint BurstStart() const { return kRestarted + scenario_.burst_after; }
 
-  double Warmed(TimePoint at) const {
-    if (started_ == TimePoint{} || at - started_ >= load_.warm_after) return 1;
+  double WarmFractionAt(TimePoint at) const {
+    if (started_ == TimePoint{} || at - started_ >= scenario_.warm_after) return 1;
     auto since = static_cast<double>(std::max(Duration{}, at - started_).count());
-    double share = since / static_cast<double>(load_.warm_after.count());
-    return load_.start_capacity + (1 - load_.start_capacity) * share;
+    double share = since / static_cast<double>(scenario_.warm_after.count());
+    return scenario_.start_capacity + (1 - scenario_.start_capacity) * share;
   }
 
-  double Bound(TimePoint at) const {
-    double n = 3 * Warmed(at) * load_.capacity * 2;
+  double MaxSends(TimePoint at) const {
+    double n = 3 * WarmFractionAt(at) * scenario_.capacity * 2;
     return n < 30 ? n + 3 * std::sqrt(n) + 3 : n + 2 * std::sqrt(n) + 2;
   }
 
-  void StartProxy(int index) {
-    auto one = std::make_unique<One>(TierSettings(load_, index), ++seed_);
+  void StartRouter(int index) {
+    auto one = std::make_unique<RouterState>(TierSettings(scenario_, index), ++seed_);
     one->index = index;
-    one->proxy.now = now_;
-    Do(*one, one->proxy.List(list_));
+    one->router.now = now_;
+    CarryOut(*one, one->router.UpdateServers(list_));
     auto place = static_cast<std::size_t>(index);
-    if (place < proxies_.size()) {
-      proxies_[place] = std::move(one);
+    if (place < routers_.size()) {
+      routers_[place] = std::move(one);
     } else {
-      proxies_.push_back(std::move(one));
+      routers_.push_back(std::move(one));
     }
   }
 
   void RestartServer(TimePoint at) {
     started_ = at;
-    sent_.clear();
+    cold_sends_.clear();
     for (ServerEntry& entry : list_) {
-      if (entry.id.name == kCold) entry.started = at;
+      if (entry.id.name == kColdServer) entry.started = at;
     }
-    for (auto& one : proxies_) {
-      one->proxy.now = now_;
-      Do(*one, one->proxy.List(list_));
+    for (auto& one : routers_) {
+      one->router.now = now_;
+      CarryOut(*one, one->router.UpdateServers(list_));
     }
   }
 
-  void Do(One& one, const std::vector<Action>& actions) {
+  void CarryOut(RouterState& one, const std::vector<Action>& actions) {
     for (const Action& action : actions) {
       if (const auto* send = std::get_if<Send>(&action)) {
-        one.answers.push_back({now_ + kAnswersIn, static_cast<unsigned>(send->id), Take(send->server.name)});
-        if (send->server.name == kCold && started_ != TimePoint{}) sent_.push_back(now_);
-        if (send->server.name == kCold && counted_) ++served_;
+        one.answers.push_back(
+            {now_ + kAnswerTime, static_cast<unsigned>(send->id), AnswerOf(send->server.name)});
+        if (send->server.name == kColdServer && started_ != TimePoint{}) cold_sends_.push_back(now_);
+        if (send->server.name == kColdServer && counting_) ++counted_sends_;
       } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
-        one.bells.push(now_ + std::max(timer->delay, Duration(kStep)));
+        one.timers.push(now_ + std::max(timer->delay, Duration(kStep)));
       }
     }
   }
 
-  // A server answers what it can take, of which half a second's may come at once, and turns the rest away.
-  Result Take(const std::string& server) {
+  // A server answers requests at its capacity, with a burst of half a second's worth, and rejects the rest as
+  // full.
+  Result AnswerOf(const std::string& server) {
     if (server == "origin") return Result::kGood;
-    double can = load_.capacity * (server == kCold ? Warmed(now_) : 1);
-    auto [at, fresh] = room_.try_emplace(server, can / 2, now_);
-    auto& [left, since] = at->second;
-    left = std::min(can / 2, left + can * static_cast<double>((now_ - since).count()) / 1e9);
+    double server_capacity = scenario_.capacity * (server == kColdServer ? WarmFractionAt(now_) : 1);
+    auto [at, inserted] = capacity_tokens_.try_emplace(server, server_capacity / 2, now_);
+    auto& [tokens, since] = at->second;
+    tokens = std::min(server_capacity / 2,
+                      tokens + server_capacity * static_cast<double>((now_ - since).count()) / 1e9);
     since = now_;
-    if (left < 1) return Result::kFull;
-    left -= 1;
+    if (tokens < 1) return Result::kFull;
+    tokens -= 1;
     return Result::kGood;
   }
 
   double RateOf(int index) const {
-    double all = load_.use * load_.capacity * kServers;
-    if (load_.idle_before && now_ < Burst()) all *= 0.02;
-    if (!load_.uneven) return all / load_.routers;
-    int busy = std::max(1, load_.routers / 5);
-    return index < busy ? all / 2 / busy : all / 2 / (load_.routers - busy);
+    double all = scenario_.load_share * scenario_.capacity * kServers;
+    if (scenario_.idle_before && now_ < BurstStart()) all *= 0.02;
+    if (!scenario_.uneven) return all / scenario_.routers;
+    int busy = std::max(1, scenario_.routers / 5);
+    return index < busy ? all / 2 / busy : all / 2 / (scenario_.routers - busy);
   }
 
-  void Step(One& one) {
-    one.proxy.now = now_;
+  void Step(RouterState& one) {
+    one.router.now = now_;
     while (!one.answers.empty() && one.answers.front().at <= now_) {
       Answer answer = one.answers.front();
       one.answers.pop_front();
-      Do(one, one.proxy.Answer(answer.id, answer.result, kAnswersIn));
+      CarryOut(one, one.router.FinishAttempt(answer.id, answer.result, kAnswerTime));
     }
-    while (!one.bells.empty() && one.bells.top() <= now_) {
-      one.bells.pop();
-      Do(one, one.proxy.Take(TimerEvent{}));
+    while (!one.timers.empty() && one.timers.top() <= now_) {
+      one.timers.pop();
+      CarryOut(one, one.router.Handle(TimerEvent{}));
     }
     std::poisson_distribution<int> arrivals(RateOf(one.index) * 0.01);
     for (int more = arrivals(random_); more > 0; --more) {
-      bool its = random_() % kServers == 0 && !(load_.rare_keys && started_ != TimePoint{});
-      std::uint64_t key = its ? keys_[random_() % keys_.size()] : others_[random_() % others_.size()];
-      counted_ = its && started_ != TimePoint{} && now_ < started_ + load_.warm_after;
-      asked_ += counted_ ? 1 : 0;
-      Do(one, one.proxy.Ask(++id_, key));
-      counted_ = false;
+      bool for_cold_server = random_() % kServers == 0 && !(scenario_.rare_keys && started_ != TimePoint{});
+      std::uint64_t key = for_cold_server ? cold_keys_[random_() % cold_keys_.size()]
+                                          : other_keys_[random_() % other_keys_.size()];
+      counting_ = for_cold_server && started_ != TimePoint{} && now_ < started_ + scenario_.warm_after;
+      counted_requests_ += counting_ ? 1 : 0;
+      CarryOut(one, one.router.SendRequest(++id_, key));
+      counting_ = false;
     }
   }
 
-  void AskAllForItsKeys() {
-    for (auto& one : proxies_) {
-      one->proxy.now = now_;
-      for (std::size_t i = 0; i < 10; ++i) Do(*one, one->proxy.Ask(++id_, keys_[random_() % keys_.size()]));
+  void BurstForColdKeys() {
+    for (auto& one : routers_) {
+      one->router.now = now_;
+      for (std::size_t i = 0; i < 10; ++i)
+        CarryOut(*one, one->router.SendRequest(++id_, cold_keys_[random_() % cold_keys_.size()]));
     }
   }
 
-  Load load_;
+  Scenario scenario_;
   std::mt19937_64 random_;
   std::vector<ServerEntry> list_;
-  std::vector<std::unique_ptr<One>> proxies_;
-  std::vector<std::uint64_t> keys_, others_;  // of the cold server; of all others
+  std::vector<std::unique_ptr<RouterState>> routers_;
+  std::vector<std::uint64_t> cold_keys_, other_keys_;  // keys of the cold server; of all others
   TimePoint now_{100s}, started_{};
-  std::vector<TimePoint> sent_;  // to it, since its last start
-  std::map<std::string, std::pair<double, TimePoint>> room_;
+  std::vector<TimePoint> cold_sends_;  // sends to the cold server since its last start
+  std::map<std::string, std::pair<double, TimePoint>> capacity_tokens_;
   std::uint64_t seed_ = 0;
   unsigned id_ = 0;
-  bool counted_ = false;
-  std::size_t asked_ = 0, served_ = 0;
+  bool counting_ = false;
+  std::size_t counted_requests_ = 0, counted_sends_ = 0;
 };
 
-std::string Text(const Load& load) {
-  return std::to_string(load.routers) + " proxies, " + std::to_string(load.capacity) + "/s at use " +
-         std::to_string(load.use) + ", from " + std::to_string(load.start_capacity) + ", burst after " +
-         std::to_string(load.burst_after / 1ms) + " ms, warm after " + std::to_string(load.warm_after / 1s) +
-         (load.uneven ? ", uneven" : "") + (load.idle_before ? ", idle before" : "") +
-         (load.restart_all ? ", all proxies restarted" : "") +
-         (load.restart_twice ? ", server restarted twice" : "") +
-         (load.rare_keys ? ", keys not asked for before" : "");
+std::string Describe(const Scenario& scenario) {
+  return std::to_string(scenario.routers) + " routers, " + std::to_string(scenario.capacity) + "/s at load " +
+         std::to_string(scenario.load_share) + ", from " + std::to_string(scenario.start_capacity) +
+         ", burst after " + std::to_string(scenario.burst_after / 1ms) + " ms, warm after " +
+         std::to_string(scenario.warm_after / 1s) + (scenario.uneven ? ", uneven" : "") +
+         (scenario.idle_before ? ", idle before" : "") +
+         (scenario.restart_all ? ", all routers restarted" : "") +
+         (scenario.restart_twice ? ", server restarted twice" : "") +
+         (scenario.rare_keys ? ", keys not requested before" : "");
 }
 
-// N at the start is 8, 15 and 40; the longer the warm-up, the more may be saved up while N is small.
-std::vector<Load> Sizes(int routers) {
+// At the start N, the sends that the server can take, is 8, 15 and 40. A longer warm-up leaves more time to
+// save up sends while N is small.
+std::vector<Scenario> ScenariosOfAllSizes(int routers) {
   using WarmAndBurst = std::pair<Duration, Duration>;
-  std::vector<Load> loads;
+  std::vector<Scenario> scenarios;
   for (double capacity : {10.0, 18.0, 48.0}) {
     for (auto [warm, burst] : {WarmAndBurst(24s, 100ms), {24s, 6s}, {90s, 8s}, {300s, 20s}}) {
-      Load load;
-      load.routers = routers;
-      load.capacity = capacity;
-      load.warm_after = warm;
-      load.burst_after = burst;
-      loads.push_back(load);
+      Scenario scenario;
+      scenario.routers = routers;
+      scenario.capacity = capacity;
+      scenario.warm_after = warm;
+      scenario.burst_after = burst;
+      scenarios.push_back(scenario);
     }
   }
-  return loads;
+  return scenarios;
 }
 
 class ColdFleet : public testing::TestWithParam<int> {
  protected:
-  void Check(const Load& load) {
-    Tier tier(load);
-    tier.Play();
+  void Check(const Scenario& scenario) {
+    Tier tier(scenario);
+    tier.Run();
     worst_ = std::max(worst_, tier.WorstExcess());
-    EXPECT_LE(tier.WorstExcess(), 0) << Text(load);
-    EXPECT_GT(tier.sent(), 0u) << Text(load);
+    EXPECT_LE(tier.WorstExcess(), 0) << Describe(scenario);
+    EXPECT_GT(tier.sent(), 0u) << Describe(scenario);
   }
   void TearDown() override { RecordProperty("worst", std::to_string(worst_)); }
   double worst_ = -1e9;
 };
 
 TEST_P(ColdFleet, SteadyDemandAndABurst) {
-  for (Load load : Sizes(GetParam())) Check(load);
+  for (Scenario scenario : ScenariosOfAllSizes(GetParam())) Check(scenario);
 }
 
 TEST_P(ColdFleet, UnevenDemandAndABurst) {
-  for (Load load : Sizes(GetParam())) {
-    load.uneven = load.rare_keys = true;
-    Check(load);
+  for (Scenario scenario : ScenariosOfAllSizes(GetParam())) {
+    scenario.uneven = scenario.rare_keys = true;
+    Check(scenario);
   }
 }
 
-TEST_P(ColdFleet, KeysThatNobodyAsksForUntilABurst) {
-  for (Load load : Sizes(GetParam())) {
-    load.rare_keys = true;
-    Check(load);
-    load.use = 1;
-    Check(load);
+TEST_P(ColdFleet, KeysWithoutRequestsUntilABurst) {
+  for (Scenario scenario : ScenariosOfAllSizes(GetParam())) {
+    scenario.rare_keys = true;
+    Check(scenario);
+    scenario.load_share = 1;
+    Check(scenario);
   }
 }
 
 TEST_P(ColdFleet, AllServersInFullUseAndABurst) {
-  for (Load load : Sizes(GetParam())) {
-    load.use = 1;
-    Check(load);
+  for (Scenario scenario : ScenariosOfAllSizes(GetParam())) {
+    scenario.load_share = 1;
+    Check(scenario);
   }
 }
 
 TEST_P(ColdFleet, IdleAndThenABurst) {
-  for (Load load : Sizes(GetParam())) {
-    load.idle_before = true;
-    Check(load);
+  for (Scenario scenario : ScenariosOfAllSizes(GetParam())) {
+    scenario.idle_before = true;
+    Check(scenario);
   }
 }
 
-TEST_P(ColdFleet, AllProxiesRestartedWithinABurst) {
-  for (Load load : Sizes(GetParam())) {
-    load.restart_all = load.rare_keys = true;
-    Check(load);
+TEST_P(ColdFleet, AllRoutersRestartedWithinABurst) {
+  for (Scenario scenario : ScenariosOfAllSizes(GetParam())) {
+    scenario.restart_all = scenario.rare_keys = true;
+    Check(scenario);
   }
 }
 
 TEST_P(ColdFleet, AServerRestartedTwiceAndABurst) {
-  for (Load load : Sizes(GetParam())) {
-    load.restart_twice = true;
-    load.burst_after += 3s;
-    Check(load);
+  for (Scenario scenario : ScenariosOfAllSizes(GetParam())) {
+    scenario.restart_twice = true;
+    scenario.burst_after += 3s;
+    Check(scenario);
   }
 }
 
-// Its keys come to it as it warms: half of them on the average, were none held back.
-TEST_P(ColdFleet, ItGetsItsPart) {
+// Keys move to the server as it warms up: on average half of them, if none were held back.
+TEST_P(ColdFleet, ItGetsItsShareOfTheTraffic) {
   for (double capacity : {12.0, 48.0}) {
-    Load load;
-    load.routers = GetParam();
-    load.capacity = capacity;
-    load.burst_after = 60s;
-    Tier tier(load);
-    tier.Play();
+    Scenario scenario;
+    scenario.routers = GetParam();
+    scenario.capacity = capacity;
+    scenario.burst_after = 60s;
+    Tier tier(scenario);
+    tier.Run();
     RecordProperty("share" + std::to_string(static_cast<int>(capacity)), std::to_string(tier.Share()));
-    EXPECT_GE(tier.Share(), 0.3) << Text(load);
+    EXPECT_GE(tier.Share(), 0.3) << Describe(scenario);
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Proxies, ColdFleet, testing::Values(3, 10, 30));
+INSTANTIATE_TEST_SUITE_P(Routers, ColdFleet, testing::Values(3, 10, 30));
 
 }  // namespace
 }  // namespace peatbend
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -1,4 +1,4 @@
-// A proxy in miniature: feeds events to a Balancer and carries out what it answers.
+// A minimal router: passes events to a Balancer and carries out its actions.
 #include <peatbend/balancer.h>
 
 #include <chrono>
@@ -33,7 +33,7 @@
 
   int sent = 0;
   for (const Action& action : actions) {
-    if (const auto* send = std::get_if<Send>(&action)) {  // a real proxy would send it
+    if (const auto* send = std::get_if<Send>(&action)) {  // a real router would send it
       std::printf("request %u goes to %s\n", static_cast<unsigned>(send->id), send->server.name.c_str());
       OutcomeEvent outcome;
       outcome.id = send->id;
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -1,4 +1,4 @@
-// A hand for the tests: settings, events and the actions they led to. It models no servers.
+// Test harness of the balancer: settings, events and the actions that follow. Models no servers.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -13,7 +13,8 @@
 
 using namespace std::chrono_literals;
 
-enum Cls { kRead = 0, kKeyedWrite = 1, kUnsafeWrite = 2 };
+// Classes of BasicSettings.
+enum TestClass { kRead = 0, kKeyedWrite = 1, kUnsafeWrite = 2 };
 
 inline Settings BasicSettings() {
   Settings s;
@@ -38,7 +39,7 @@
   return s;
 }
 
-inline ServerEntry Entry(const std::string& name, ServerState state = ServerState::kReady) {
+inline ServerEntry MakeEntry(const std::string& name, ServerState state = ServerState::kReady) {
   ServerEntry entry;
   entry.id = {name};
   entry.state = state;
@@ -46,37 +47,38 @@
   return entry;
 }
 
-class Proxy {
+// A Balancer on a clock that the test sets. Records the actions it returns.
+class TestRouter {
  public:
-  explicit Proxy(const Settings& settings = BasicSettings(), std::uint64_t seed = 7)
+  explicit TestRouter(const Settings& settings = BasicSettings(), std::uint64_t seed = 7)
       : balancer(settings, seed) {}
 
-  std::vector<Action> Take(const Event& event) {
+  std::vector<Action> Handle(const Event& event) {
     std::vector<Action> actions;
     balancer.Handle(now, event, actions);
     for (const Action& action : actions) {
       if (const auto* send = std::get_if<Send>(&action)) {
-        last[send->id] = {send->server.name, attempts[send->id]++};
+        last_attempt[send->id] = {send->server.name, attempt_counts[send->id]++};
       }
-      all.push_back(action);
+      all_actions.push_back(action);
     }
     return actions;
   }
-  std::vector<Action> List(const std::vector<ServerEntry>& entries, Scope scope = Scope::kFull) {
-    return Take(MembershipEvent{scope, entries});
+  std::vector<Action> UpdateServers(const std::vector<ServerEntry>& entries, Scope scope = Scope::kFull) {
+    return Handle(MembershipEvent{scope, entries});
   }
-  std::vector<Action> Ask(unsigned id, std::uint64_t key, int cls = kRead, Duration remaining = 1s) {
+  std::vector<Action> SendRequest(unsigned id, std::uint64_t key, int cls = kRead, Duration remaining = 1s) {
     RequestEvent event;
     event.id = RequestId{id};
     event.key = Key{key};
     event.cls = cls;
     event.write = cls != kRead;
     event.remaining = remaining;
-    return Take(event);
+    return Handle(event);
   }
-  // The outcome of the request's last attempt.
-  std::vector<Action> Answer(unsigned id, Result result, Duration elapsed = 20ms) {
-    const auto& [server, attempt] = last.at(RequestId{id});
+  // Ends the last attempt of the request with this result.
+  std::vector<Action> FinishAttempt(unsigned id, Result result, Duration elapsed = 20ms) {
+    const auto& [server, attempt] = last_attempt.at(RequestId{id});
     OutcomeEvent event;
     event.id = RequestId{id};
     event.server = server;
@@ -84,44 +86,47 @@
     event.result = result;
     event.done = result == Result::kGood;
     event.elapsed = elapsed;
-    return Take(event);
+    return Handle(event);
   }
-  std::vector<Action> Tick(Duration later) {
-    now += later;
-    return Take(TimerEvent{});
+  std::vector<Action> FireTimerAfter(Duration delay) {
+    now += delay;
+    return Handle(TimerEvent{});
   }
 
   Balancer balancer;
   TimePoint now{100s};
-  std::map<RequestId, std::pair<std::string, int>> last;
-  std::map<RequestId, int> attempts;
-  std::vector<Action> all;
+  std::map<RequestId, std::pair<std::string, int>> last_attempt;
+  std::map<RequestId, int> attempt_counts;
+  std::vector<Action> all_actions;
 };
 
+// The actions of type T, in order.
 template <typename T>
-std::vector<T> Only(const std::vector<Action>& actions) {
+std::vector<T> ActionsOf(const std::vector<Action>& actions) {
   std::vector<T> found;
   for (const Action& action : actions) {
     if (const auto* one = std::get_if<T>(&action)) found.push_back(*one);
   }
   return found;
 }
+// The server of the first Send; empty if there is none.
 inline std::string SentTo(const std::vector<Action>& actions) {
-  auto sends = Only<Send>(actions);
+  auto sends = ActionsOf<Send>(actions);
   return sends.empty() ? "" : sends.front().server.name;
 }
 
-// Settings of one proxy among many.
-inline Settings ManyProxies(int routers = 500) {
+// Settings of one router of a large tier.
+inline Settings SettingsForRouters(int routers = 500) {
   Settings s = BasicSettings();
   s.routers = routers;
   return s;
 }
 
-inline std::vector<ServerEntry> Fleet(int caches) {
+// Cache servers cache-10, cache-11 and so on, and the origin last.
+inline std::vector<ServerEntry> MakeServerList(int caches) {
   std::vector<ServerEntry> list;
-  for (int i = 0; i < caches; ++i) list.push_back(Entry("cache-" + std::to_string(10 + i)));
-  list.push_back(Entry("origin"));
+  for (int i = 0; i < caches; ++i) list.push_back(MakeEntry("cache-" + std::to_string(10 + i)));
+  list.push_back(MakeEntry("origin"));
   return list;
 }
 
--- a/tests/maglev_table_test.cpp
+++ b/tests/maglev_table_test.cpp
@@ -1,3 +1,4 @@
+// Properties of the Maglev table: its size, even and weighted fill, and few moved slots after a removal.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,7 +11,7 @@
 namespace peatbend {
 namespace {
 
-std::vector<std::string> Names(int count) {
+std::vector<std::string> ServerNames(int count) {
   std::vector<std::string> names;
   for (int i = 0; i < count; ++i) names.push_back("node." + std::to_string(1000 + i * 37));
   std::sort(names.begin(), names.end());
@@ -23,7 +24,7 @@
 
 TEST(MaglevTable, SizeIsPrimeAndEverySlotFilledEvenly) {
   for (int count : {1, 2, 3, 12, 47, 130, 160}) {
-    auto table = Build(Names(count));
+    auto table = Build(ServerNames(count));
     for (std::size_t d = 2; d * d <= table.size(); ++d) ASSERT_NE(table.size() % d, 0u);
     std::vector<int> slots(count, 0);
     for (std::uint16_t owner : table) {
@@ -36,32 +37,33 @@
   }
 }
 
-TEST(MaglevTable, TurnsGiveSlotsInTheirProportionAndKeepMostOnARemoval) {
-  auto names = Names(8);
-  std::vector<int> turns{4, 1, 4, 1, 4, 1, 4, 1};
+TEST(MaglevTable, WeightedFillIsProportionalAndMovesLittleOnARemoval) {
+  auto names = ServerNames(8);
+  std::vector<int> slots_per_round{4, 1, 4, 1, 4, 1, 4, 1};
   auto build = [&] {
     std::vector<std::string_view> views(names.begin(), names.end());
-    return BuildMaglevTable(views, turns);
+    return BuildMaglevTable(views, slots_per_round);
   };
   auto before = build(), kept = before;
   std::vector<int> slots(8, 0);
   for (std::uint16_t owner : before) ++slots[owner];
-  for (int i = 0; i < 8; ++i) EXPECT_NEAR(slots[i], static_cast<int>(before.size()) * turns[i] / 20, 5) << i;
-  auto was = names;
+  for (int i = 0; i < 8; ++i)
+    EXPECT_NEAR(slots[i], static_cast<int>(before.size()) * slots_per_round[i] / 20, 5) << i;
+  auto names_before = names;
   names.erase(names.begin() + 3);
-  turns.erase(turns.begin() + 3);
+  slots_per_round.erase(slots_per_round.begin() + 3);
   auto after = build();
   std::size_t moved = 0;
   for (std::size_t slot = 0; slot < before.size(); ++slot) {
-    if (before[slot] != 3 && was[before[slot]] != names[after[slot]]) ++moved;
+    if (before[slot] != 3 && names_before[before[slot]] != names[after[slot]]) ++moved;
   }
   EXPECT_LT(moved, before.size() / 10);
 }
 
-TEST(MaglevTable, NoServersNoTable) { EXPECT_TRUE(Build({}).empty()); }
+TEST(MaglevTable, NoServersGiveAnEmptyTable) { EXPECT_TRUE(Build({}).empty()); }
 
 TEST(MaglevTable, RemovalMovesLittleBeyondTheLostShare) {
-  auto names = Names(12);
+  auto names = ServerNames(12);
   auto before = Build(names);
   auto fewer = names;
   fewer.erase(fewer.begin() + 5);
--- a/tests/orders/checker.h
+++ b/tests/orders/checker.h
@@ -1,5 +1,6 @@
-// The rules, checked on what decision modules are told and what they do, after each event. Knows nothing of
-// how they decide. Several routers may share one fleet: what a cold server gets is summed up over all.
+// Checks the rules that balancers must keep, on the events they get and the actions they return. Knows
+// nothing of how they decide. Several routers may share one fleet: the load of a cold server is summed over
+// all of them.
 #pragma once
 
 #include <algorithm>
@@ -15,9 +16,9 @@
 
 namespace peatbend::orders {
 
-class Checker {
+class RuleChecker {
  public:
-  struct Flight {  // an attempt that is out
+  struct OutstandingAttempt {
     int router = 0;
     RequestId id{};
     int attempt = 0;
@@ -25,34 +26,36 @@
     TimePoint sent{}, give_up{};
   };
 
-  // `capacity`: requests a second that a warm cache server can answer; zero: the cold rule is not checked.
-  explicit Checker(const Settings& settings, double capacity = 0) : set_(settings), capacity_(capacity) {}
+  // `capacity`: requests per second that a warm cache server can answer; zero: the limit of cold servers is
+  // not checked.
+  explicit RuleChecker(const Settings& settings, double capacity = 0)
+      : settings_(settings), capacity_(capacity) {}
 
-  // An event, before the router's module takes it.
-  void Told(int router, TimePoint now, const Event& event) {
-    if (const auto* news = std::get_if<MembershipEvent>(&event)) Told(routers_[router], now, *news);
+  // Records an event before the router's balancer handles it.
+  void OnEvent(int router, TimePoint now, const Event& event) {
+    if (const auto* update = std::get_if<MembershipEvent>(&event)) OnEvent(routers_[router], now, *update);
     if (const auto* request = std::get_if<RequestEvent>(&event)) {
       routers_[router].open[request->id] = {request->cls, request->write, now + request->remaining, {}};
-      routers_[router].taken.push_back(now);
+      routers_[router].arrivals.push_back(now);
     }
-    if (const auto* outcome = std::get_if<OutcomeEvent>(&event)) Told(routers_[router], *outcome);
+    if (const auto* outcome = std::get_if<OutcomeEvent>(&event)) OnEvent(routers_[router], *outcome);
     if (const auto* gone = std::get_if<ClientGoneEvent>(&event)) routers_[router].open.erase(gone->id);
   }
 
-  // What the module did then.
-  void Did(int router, TimePoint now, const std::vector<Action>& actions) {
+  // Checks the actions that the balancer returned.
+  void OnAction(int router, TimePoint now, const std::vector<Action>& actions) {
     for (const Action& action : actions) {
-      if (const auto* send = std::get_if<Send>(&action)) Did(router, now, *send);
-      if (const auto* reject = std::get_if<Reject>(&action)) Did(routers_[router], *reject);
-      if (const auto* fail = std::get_if<Fail>(&action)) Ended(routers_[router], fail->id);
+      if (const auto* send = std::get_if<Send>(&action)) OnAction(router, now, *send);
+      if (const auto* reject = std::get_if<Reject>(&action)) OnAction(routers_[router], *reject);
+      if (const auto* fail = std::get_if<Fail>(&action)) OnFinalAnswer(routers_[router], fail->id);
     }
   }
 
-  // It is `now`.
-  void Clock(TimePoint now) {
-    for (const auto& [number, router] : routers_) {
+  // Checks that no request is overdue.
+  void CheckDeadlines(TimePoint now) {
+    for (const auto& [router_number, router] : routers_) {
       for (const auto& [id, request] : router.open) {
-        if (now > request.deadline + set_.answer_grace) Broken("no final answer in time");
+        if (now > request.deadline + settings_.answer_grace) AddViolation("no final answer in time");
       }
     }
   }
@@ -60,167 +63,174 @@
   bool IsOpen(int router, RequestId id) { return routers_[router].open.contains(id); }
   std::size_t open() const {
     std::size_t sum = 0;
-    for (const auto& [number, router] : routers_) sum += router.open.size();
+    for (const auto& [router_number, router] : routers_) sum += router.open.size();
     return sum;
   }
   std::size_t sends() const { return sends_; }
-  const std::vector<std::string>& broken() const { return broken_; }
-  std::vector<Flight> flights;  // the oldest first
+  const std::vector<std::string>& violations() const { return violations_; }
+  std::vector<OutstandingAttempt> outstanding;  // oldest first
 
  private:
-  struct Try {
+  struct AttemptRecord {
     std::string server;
     int zone = 0, cell = 0;
     TimePoint sent{};
     bool open = true, may_have_run = true, missed = false;
   };
-  struct Open {
+  struct OpenRequest {
     int cls = 0;
     bool write = false;
     TimePoint deadline{};
-    std::vector<Try> tries;
+    std::vector<AttemptRecord> attempts;
   };
-  struct Listing {
+  struct ListedServer {
     ServerEntry entry;
-    TimePoint leaving = TimePoint::max();  // told so
+    TimePoint leaving_since = TimePoint::max();  // announced as draining or gone
   };
   struct Router {
-    std::map<std::string, Listing> list;
-    std::map<RequestId, Open> open;
-    std::vector<TimePoint> taken;
-    std::vector<std::tuple<TimePoint, RequestId, int>> further;  // attempts that count for the allowance
+    std::map<std::string, ListedServer> list;
+    std::map<RequestId, OpenRequest> open;
+    std::vector<TimePoint> arrivals;
+    // Attempts that count toward the limit on extra attempts.
+    std::vector<std::tuple<TimePoint, RequestId, int>> extra_attempts;
   };
 
-  void Broken(const std::string& rule) { broken_.push_back(rule); }
+  void AddViolation(const std::string& rule) { violations_.push_back(rule); }
 
-  void Told(Router& router, TimePoint now, const MembershipEvent& news) {
-    if (news.scope == Scope::kFailed) return;
+  void OnEvent(Router& router, TimePoint now, const MembershipEvent& update) {
+    if (update.scope == Scope::kFailed) return;
     std::set<std::string> named;
-    for (const ServerEntry& entry : news.entries) {
+    for (const ServerEntry& entry : update.entries) {
       named.insert(entry.id.name);
-      Listing& listing = router.list[entry.id.name];
-      TimePoint started = std::max(listing.entry.started, entry.started);  // one clock, read by all machines
+      ListedServer& listing = router.list[entry.id.name];
+      TimePoint started = std::max(listing.entry.started, entry.started);  // all machines share one clock
       listing.entry = entry;
       listing.entry.started = started;
       bool serves = entry.state == ServerState::kReady;
-      listing.leaving = serves ? TimePoint::max() : std::min(listing.leaving, now);
+      listing.leaving_since = serves ? TimePoint::max() : std::min(listing.leaving_since, now);
     }
-    if (news.scope == Scope::kDelta) return;
+    if (update.scope == Scope::kDelta) return;
     for (auto& [name, listing] : router.list) {
-      if (!named.contains(name)) listing.leaving = std::min(listing.leaving, now);
+      if (!named.contains(name)) listing.leaving_since = std::min(listing.leaving_since, now);
     }
   }
 
-  void Told(Router& router, const OutcomeEvent& event) {
-    std::erase_if(flights, [&](const Flight& flight) {
+  void OnEvent(Router& router, const OutcomeEvent& event) {
+    std::erase_if(outstanding, [&](const OutstandingAttempt& flight) {
       return &routers_[flight.router] == &router && flight.id == event.id && flight.attempt == event.attempt;
     });
     if (event.result == Result::kNeverSent) {
-      std::erase_if(router.further, [&](const auto& one) {
+      std::erase_if(router.extra_attempts, [&](const auto& one) {
         return std::get<1>(one) == event.id && std::get<2>(one) == event.attempt;
       });
     }
     auto at = router.open.find(event.id);
     if (at == router.open.end()) return;
-    Try& tried = at->second.tries.at(static_cast<std::size_t>(event.attempt));
-    tried.open = false;
-    tried.missed = event.result == Result::kMiss;
-    tried.may_have_run = !tried.missed && event.result != Result::kFull && event.result != Result::kNoConn &&
-                         event.result != Result::kNeverSent;
+    AttemptRecord& previous = at->second.attempts.at(static_cast<std::size_t>(event.attempt));
+    previous.open = false;
+    previous.missed = event.result == Result::kMiss;
+    previous.may_have_run = !previous.missed && event.result != Result::kFull &&
+                            event.result != Result::kNoConn && event.result != Result::kNeverSent;
     if (event.done) router.open.erase(at);
   }
 
-  void Did(int number, TimePoint now, const Send& send) {
+  void OnAction(int router_number, TimePoint now, const Send& send) {
     ++sends_;
-    Router& router = routers_[number];
+    Router& router = routers_[router_number];
     auto at = router.open.find(send.id);
-    if (at == router.open.end()) return Broken("an attempt after the final answer");
-    Open& request = at->second;
+    if (at == router.open.end()) return AddViolation("an attempt after the final answer");
+    OpenRequest& request = at->second;
     auto listed = router.list.find(send.server.name);
-    if (listed == router.list.end()) return Broken("an attempt at a server that no list has named");
+    if (listed == router.list.end()) return AddViolation("an attempt at a server that is in no list");
     const ServerEntry& server = listed->second.entry;
-    if (listed->second.leaving != TimePoint::max() && now > listed->second.leaving + set_.drain_grace) {
-      Broken("an attempt at a draining or gone server after the grace");
+    if (listed->second.leaving_since != TimePoint::max() &&
+        now > listed->second.leaving_since + settings_.drain_grace) {
+      AddViolation("an attempt at a draining or gone server after drain_grace");
     }
-    bool at_origin = set_.cache_aside && server.kind == set_.origin_kind;
-    if (set_.cache_aside && request.write && !at_origin) Broken("a write to a server that only stores");
-    int attempt = static_cast<int>(request.tries.size());
-    if (attempt >= set_.try_limit) Broken("more attempts than allowed");
-    const ClassSettings& cls = set_.classes[static_cast<std::size_t>(request.cls)];
-    for (const Try& tried : request.tries) {
-      if (tried.open && !set_.concurrent_attempts) Broken("two attempts out at once");
-      if (!tried.may_have_run) continue;
-      bool same =
-          cls.dedup_group == DedupGroup::kAll ||
-          (cls.dedup_group == DedupGroup::kZone ? server.zone == tried.zone : server.cell == tried.cell);
-      switch (lab::JudgeRepeat(cls, now - tried.sent, Duration{}, same)) {
+    bool at_origin = settings_.cache_aside && server.kind == settings_.origin_kind;
+    if (settings_.cache_aside && request.write && !at_origin) AddViolation("a write to a cache server");
+    int attempt = static_cast<int>(request.attempts.size());
+    if (attempt >= settings_.try_limit) AddViolation("more attempts than allowed");
+    const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(request.cls)];
+    for (const AttemptRecord& previous : request.attempts) {
+      if (previous.open && !settings_.concurrent_attempts) AddViolation("two attempts in flight at once");
+      if (!previous.may_have_run) continue;
+      bool same_group = cls.dedup_group == DedupGroup::kAll ||
+                        (cls.dedup_group == DedupGroup::kZone ? server.zone == previous.zone
+                                                              : server.cell == previous.cell);
+      switch (lab::JudgeRepeat(cls, now - previous.sent, Duration{}, same_group)) {
         case lab::Repeat::kFine:
           break;
         case lab::Repeat::kNever:
-          Broken("an unsafe request repeated");
+          AddViolation("an unsafe request repeated");
           break;
         case lab::Repeat::kTooLate:
-          Broken("a keyed request repeated after its window");
+          AddViolation("a keyed request repeated after its deduplication window");
           break;
         case lab::Repeat::kOutsideGroup:
-          Broken("a keyed request repeated outside its group");
+          AddViolation("a keyed request repeated outside its deduplication group");
           break;
       }
     }
-    if (set_.attempt_window && attempt > 0 && !request.tries.back().missed) {
-      router.further.push_back({now, send.id, attempt});
-      auto in_window = [&](TimePoint time) { return now - time < *set_.attempt_window; };
-      auto taken = std::count_if(router.taken.begin(), router.taken.end(), in_window);
-      auto further = std::count_if(router.further.begin(), router.further.end(),
-                                   [&](const auto& one) { return in_window(std::get<0>(one)); });
-      double most = *set_.free_resends + *set_.extra_per_request * static_cast<double>(taken);
-      if (static_cast<double>(further) > most) Broken("more further attempts than the allowance");
+    if (settings_.attempt_window && attempt > 0 && !request.attempts.back().missed) {
+      router.extra_attempts.push_back({now, send.id, attempt});
+      auto in_window = [&](TimePoint time) { return now - time < *settings_.attempt_window; };
+      auto arrivals = std::count_if(router.arrivals.begin(), router.arrivals.end(), in_window);
+      auto extra_attempts = std::count_if(router.extra_attempts.begin(), router.extra_attempts.end(),
+                                          [&](const auto& one) { return in_window(std::get<0>(one)); });
+      double max_extra =
+          *settings_.free_resends + *settings_.extra_per_request * static_cast<double>(arrivals);
+      if (static_cast<double>(extra_attempts) > max_extra) AddViolation("more extra attempts than allowed");
     }
-    if (!at_origin) CheckCold(server, now);
-    request.tries.push_back({send.server.name, server.zone, server.cell, now});
+    if (!at_origin) CheckColdServer(server, now);
+    request.attempts.push_back({send.server.name, server.zone, server.cell, now});
     TimePoint give_up = send.give_up_after > Duration{} ? now + send.give_up_after : request.deadline;
-    flights.push_back({number, send.id, attempt, send.server.name, now, std::min(request.deadline, give_up)});
+    outstanding.push_back(
+        {router_number, send.id, attempt, send.server.name, now, std::min(request.deadline, give_up)});
   }
 
-  // The budget of a cold server, over all routers that were told of its start: the multiple of what it can do
-  // now, in any span of the time after which it falls over; and one for chance. Misses there that reach the
-  // origin are a part of these sends, so the bound holds for what cold servers make of its load too.
-  void CheckCold(const ServerEntry& server, TimePoint now) {
+  // The limit of a cold server, over all routers that know of its start: overload_multiple times its current
+  // capacity within any overload_duration, plus one for chance. Its misses that reach the origin are among
+  // these sends, so the limit also bounds the load that cold servers cause there.
+  void CheckColdServer(const ServerEntry& server, TimePoint now) {
     Duration age = now - server.started;
-    if (capacity_ <= 0 || server.started == TimePoint{} || age >= set_.warm_after) return;
-    auto& sent = cold_[server.id.name];
+    if (capacity_ <= 0 || server.started == TimePoint{} || age >= settings_.warm_after) return;
+    auto& sent = cold_sends_[server.id.name];
     sent.push_back(now);
-    while (now - sent.front() > set_.overload_duration) sent.pop_front();
-    double grown = static_cast<double>(age.count()) / static_cast<double>(set_.warm_after.count());
-    double can = capacity_ * (set_.start_capacity + (1 - set_.start_capacity) * grown);
-    double span = std::chrono::duration<double>(set_.overload_duration).count();
-    if (static_cast<double>(sent.size()) > set_.overload_multiple * can * span + 1) {
-      Broken("a cold server was sent more than its budget");
+    while (now - sent.front() > settings_.overload_duration) sent.pop_front();
+    double warm_share = static_cast<double>(age.count()) / static_cast<double>(settings_.warm_after.count());
+    double current_capacity =
+        capacity_ * (settings_.start_capacity + (1 - settings_.start_capacity) * warm_share);
+    double span = std::chrono::duration<double>(settings_.overload_duration).count();
+    if (static_cast<double>(sent.size()) > settings_.overload_multiple * current_capacity * span + 1) {
+      AddViolation("a cold server got more than its limit");
     }
   }
 
-  void Did(Router& router, const Reject& reject) {
+  void OnAction(Router& router, const Reject& reject) {
     auto at = router.open.find(reject.id);
     if (at != router.open.end()) {
-      const Open& request = at->second;
-      bool ran = std::any_of(request.tries.begin(), request.tries.end(),
-                             [](const Try& tried) { return tried.may_have_run; });
-      if (ran && !lab::HarmlessToAskAgain(set_.classes[static_cast<std::size_t>(request.cls)])) {
-        Broken("a refusal of what may have run");
+      const OpenRequest& request = at->second;
+      bool may_have_run_before =
+          std::any_of(request.attempts.begin(), request.attempts.end(),
+                      [](const AttemptRecord& previous) { return previous.may_have_run; });
+      if (may_have_run_before &&
+          !lab::HarmlessToAskAgain(settings_.classes[static_cast<std::size_t>(request.cls)])) {
+        AddViolation("a rejection of a request that may have run");
       }
     }
-    Ended(router, reject.id);
+    OnFinalAnswer(router, reject.id);
   }
 
-  void Ended(Router& router, RequestId id) {
-    if (router.open.erase(id) == 0) Broken("a second final answer");
+  void OnFinalAnswer(Router& router, RequestId id) {
+    if (router.open.erase(id) == 0) AddViolation("a second final answer");
   }
 
-  Settings set_;
+  Settings settings_;
   double capacity_;
   std::map<int, Router> routers_;
-  std::map<std::string, std::deque<TimePoint>> cold_;
-  std::vector<std::string> broken_;
+  std::map<std::string, std::deque<TimePoint>> cold_sends_;
+  std::vector<std::string> violations_;
   std::size_t sends_ = 0;
 };
 
--- a/tests/orders/checker_test.cpp
+++ b/tests/orders/checker_test.cpp
@@ -1,4 +1,4 @@
-// The checker of the rules, fed with one broken stream of actions for each rule: it must name it.
+// RuleChecker gets one sequence that breaks a rule, for each rule, and must name it.
 #include "orders/checker.h"
 
 #include "harness.h"
@@ -6,130 +6,138 @@
 namespace peatbend::orders {
 namespace {
 
-struct Stream {
-  Settings set = BasicSettings();
-  Checker checker{BasicSettings(), 2};
+struct CheckerFixture {
+  Settings settings = BasicSettings();
+  RuleChecker checker{BasicSettings(), 2};
   TimePoint now{100s};
 
-  Stream() {
-    ServerEntry a = Entry("a"), b = Entry("b"), cold = Entry("cold"), origin = Entry("origin");
+  CheckerFixture() {
+    ServerEntry a = MakeEntry("a"), b = MakeEntry("b"), cold = MakeEntry("cold"),
+                origin = MakeEntry("origin");
     b.zone = b.cell = 1;
     cold.started = now;
-    Told(MembershipEvent{Scope::kFull, std::vector{a, b, cold, origin}});
+    OnEvent(MembershipEvent{Scope::kFull, std::vector{a, b, cold, origin}});
   }
-  void Told(const Event& event, int router = 0) { checker.Told(router, now, event); }
-  void Ask(int cls, unsigned id = 1, int router = 0) {
+  void OnEvent(const Event& event, int router = 0) { checker.OnEvent(router, now, event); }
+  void Request(int cls, unsigned id = 1, int router = 0) {
     RequestEvent event;
     event.id = RequestId{id};
     event.cls = cls;
     event.write = cls != kRead;
     event.remaining = 1s;
-    Told(event, router);
+    OnEvent(event, router);
   }
-  void Did(const Action& action, int router = 0) { checker.Did(router, now, {action}); }
+  void Act(const Action& action, int router = 0) { checker.OnAction(router, now, {action}); }
   void Send(const std::string& server, unsigned id = 1, int router = 0) {
-    Did(peatbend::Send{RequestId{id}, {server}, 1s}, router);
+    Act(peatbend::Send{RequestId{id}, {server}, 1s}, router);
   }
-  void Outcome(const std::string& server, Result result, int attempt = 0) {
+  void EndAttempt(const std::string& server, Result result, int attempt = 0) {
     OutcomeEvent event;
     event.id = RequestId{1};
     event.server = server;
     event.attempt = attempt;
     event.result = result;
     event.done = result == Result::kGood;
-    Told(event);
+    OnEvent(event);
+  }
+  std::string FirstViolation() const {
+    return checker.violations().empty() ? "" : checker.violations().front();
   }
-  std::string Broken() const { return checker.broken().empty() ? "" : checker.broken().front(); }
 };
 
-TEST(Checker, ALegalStreamBreaksNothing) {
-  Stream s;
-  s.Ask(kKeyedWrite);
+TEST(RuleChecker, AcceptsLegalSequences) {
+  CheckerFixture s;
+  s.Request(kKeyedWrite);
   s.Send("origin");
-  s.Outcome("origin", Result::kReset);
+  s.EndAttempt("origin", Result::kReset);
   s.now += 300ms;
   s.Send("origin");
-  s.Did(Reject{RequestId{1}, {}});
-  s.checker.Clock(s.now + 10s);
-  EXPECT_EQ(s.Broken(), "");
+  s.Act(Reject{RequestId{1}, {}});
+  s.checker.CheckDeadlines(s.now + 10s);
+  EXPECT_EQ(s.FirstViolation(), "");
 }
 
-TEST(Checker, NamesEachBrokenRule) {
-  const std::pair<std::string, std::function<void(Stream&)>> cases[] = {
-      {"no final answer in time", [](Stream& s) { s.Ask(kRead), s.checker.Clock(s.now + 1021ms); }},
+TEST(RuleChecker, NamesEachViolatedRule) {
+  const std::pair<std::string, std::function<void(CheckerFixture&)>> cases[] = {
+      {"no final answer in time",
+       [](CheckerFixture& s) { s.Request(kRead), s.checker.CheckDeadlines(s.now + 1021ms); }},
       {"a second final answer",
-       [](Stream& s) {
-         s.Ask(kRead), s.Did(Reject{RequestId{1}, {}}), s.Did(Fail{RequestId{1}});
+       [](CheckerFixture& s) {
+         s.Request(kRead), s.Act(Reject{RequestId{1}, {}}), s.Act(Fail{RequestId{1}});
        }},
       {"an attempt after the final answer",
-       [](Stream& s) { s.Ask(kRead), s.Send("a"), s.Outcome("a", Result::kGood), s.Send("a"); }},
-      {"two attempts out at once", [](Stream& s) { s.Ask(kRead), s.Send("a"), s.Send("b"); }},
+       [](CheckerFixture& s) {
+         s.Request(kRead), s.Send("a"), s.EndAttempt("a", Result::kGood), s.Send("a");
+       }},
+      {"two attempts in flight at once",
+       [](CheckerFixture& s) { s.Request(kRead), s.Send("a"), s.Send("b"); }},
       {"more attempts than allowed",
-       [](Stream& s) {
-         s.Ask(kRead);
-         for (int i = 0; i <= s.set.try_limit; ++i) s.Send("a"), s.Outcome("a", Result::kBad, i);
+       [](CheckerFixture& s) {
+         s.Request(kRead);
+         for (int i = 0; i <= s.settings.try_limit; ++i) s.Send("a"), s.EndAttempt("a", Result::kBad, i);
        }},
       {"an unsafe request repeated",
-       [](Stream& s) {
-         s.Ask(kUnsafeWrite), s.Send("origin"), s.Outcome("origin", Result::kBad), s.Send("origin");
+       [](CheckerFixture& s) {
+         s.Request(kUnsafeWrite), s.Send("origin"), s.EndAttempt("origin", Result::kBad), s.Send("origin");
        }},
-      {"a keyed request repeated after its window",
-       [](Stream& s) {
-         s.Ask(kKeyedWrite), s.Send("origin"), s.Outcome("origin", Result::kReset), s.now += 401ms,
+      {"a keyed request repeated after its deduplication window",
+       [](CheckerFixture& s) {
+         s.Request(kKeyedWrite), s.Send("origin"), s.EndAttempt("origin", Result::kReset), s.now += 401ms,
              s.Send("origin");
        }},
-      {"a write to a server that only stores", [](Stream& s) { s.Ask(kKeyedWrite), s.Send("a"); }},
-      {"a refusal of what may have run",
-       [](Stream& s) {
-         s.Ask(kUnsafeWrite), s.Send("origin"), s.Did(Reject{RequestId{1}, {}});
+      {"a write to a cache server", [](CheckerFixture& s) { s.Request(kKeyedWrite), s.Send("a"); }},
+      {"a rejection of a request that may have run",
+       [](CheckerFixture& s) {
+         s.Request(kUnsafeWrite), s.Send("origin"), s.Act(Reject{RequestId{1}, {}});
        }},
-      {"an attempt at a server that no list has named", [](Stream& s) { s.Ask(kRead), s.Send("c"); }},
-      {"an attempt at a draining or gone server after the grace",
-       [](Stream& s) {
-         s.Told(MembershipEvent{Scope::kDelta, std::vector{Entry("a", ServerState::kDraining)}});
-         s.now += 501ms, s.Ask(kRead), s.Send("a");
+      {"an attempt at a server that is in no list", [](CheckerFixture& s) { s.Request(kRead), s.Send("c"); }},
+      {"an attempt at a draining or gone server after drain_grace",
+       [](CheckerFixture& s) {
+         s.OnEvent(MembershipEvent{Scope::kDelta, std::vector{MakeEntry("a", ServerState::kDraining)}});
+         s.now += 501ms, s.Request(kRead), s.Send("a");
        }},
-      {"an attempt at a draining or gone server after the grace",  // a full list without it
-       [](Stream& s) {
-         s.Told(MembershipEvent{Scope::kFull, std::vector{Entry("b"), Entry("origin")}});
-         s.now += 501ms, s.Ask(kRead), s.Send("a");
+      {"an attempt at a draining or gone server after drain_grace",  // a full list without the server
+       [](CheckerFixture& s) {
+         s.OnEvent(MembershipEvent{Scope::kFull, std::vector{MakeEntry("b"), MakeEntry("origin")}});
+         s.now += 501ms, s.Request(kRead), s.Send("a");
        }},
-      {"a cold server was sent more than its budget",  // 3 x 0.2 x 2 a second x 2 s, by both routers
-       [](Stream& s) {
-         s.Told(MembershipEvent{Scope::kFull, std::vector{[&] {
-                                  ServerEntry cold = Entry("cold");
-                                  cold.started = s.now;
-                                  return cold;
-                                }()}},
-                1);
-         for (unsigned id = 1; id <= 4; ++id) s.Ask(kRead, id, id % 2), s.Send("cold", id, id % 2);
+      {"a cold server got more than its limit",  // 3 x 0.2 x 2 per second x 2 s, over both routers
+       [](CheckerFixture& s) {
+         s.OnEvent(MembershipEvent{Scope::kFull, std::vector{[&] {
+                                     ServerEntry cold = MakeEntry("cold");
+                                     cold.started = s.now;
+                                     return cold;
+                                   }()}},
+                   1);
+         for (unsigned id = 1; id <= 4; ++id) s.Request(kRead, id, id % 2), s.Send("cold", id, id % 2);
        }},
   };
-  for (const auto& [rule, plays] : cases) {
-    Stream stream;
-    plays(stream);
-    EXPECT_EQ(stream.Broken(), rule);
+  for (const auto& [rule, run] : cases) {
+    CheckerFixture stream;
+    run(stream);
+    EXPECT_EQ(stream.FirstViolation(), rule);
   }
 }
 
-TEST(Checker, KeepsGroupsAndTheAllowance) {
+TEST(RuleChecker, ChecksDeduplicationGroupsAndTheAttemptLimit) {
   Settings settings = BasicSettings();
   settings.cache_aside = false;
   settings.classes[kKeyedWrite].dedup_group = DedupGroup::kZone;
   settings.attempt_window = 1s;
   settings.free_resends = 0;
   settings.extra_per_request = 0;
-  Stream s;
-  s.checker = Checker(settings);
-  ServerEntry a = Entry("a"), b = Entry("b");
+  CheckerFixture s;
+  s.checker = RuleChecker(settings);
+  ServerEntry a = MakeEntry("a"), b = MakeEntry("b");
   b.zone = 1;
-  s.Told(MembershipEvent{Scope::kFull, std::vector{a, b}});
-  s.Ask(kKeyedWrite);
+  s.OnEvent(MembershipEvent{Scope::kFull, std::vector{a, b}});
+  s.Request(kKeyedWrite);
   s.Send("a");
-  s.Outcome("a", Result::kBad);
+  s.EndAttempt("a", Result::kBad);
   s.Send("b");
-  EXPECT_EQ(s.checker.broken(), (std::vector<std::string>{"a keyed request repeated outside its group",
-                                                          "more further attempts than the allowance"}));
+  EXPECT_EQ(s.checker.violations(),
+            (std::vector<std::string>{"a keyed request repeated outside its deduplication group",
+                                      "more extra attempts than allowed"}));
 }
 
 }  // namespace
--- a/tests/orders/interleavings.h
+++ b/tests/orders/interleavings.h
@@ -168,7 +168,7 @@
   bool complete = false;  // all reachable states were visited
   std::string Text() const {
     return std::to_string(states) + " states, " + std::to_string(distinct) + " of them distinct" +
-           (complete ? ", all there are, " : ", from ") + std::to_string(seeds) + " beginnings";
+           (complete ? ", all reachable states, from " : ", from ") + std::to_string(seeds) + " seeds";
   }
 };
 // Explores until `max_states` distinct states have been seen, or as many as PEATBEND_LONG says, or all there
--- a/tests/quota_verdict_test.cpp
+++ b/tests/quota_verdict_test.cpp
@@ -1,93 +1,95 @@
-// What the module makes of a request's ration, and of news that bring no change.
+// Quota verdicts of requests; membership events without changes; subscription backoff.
 #include "harness.h"
 
 namespace peatbend {
 namespace {
 
-RequestEvent OfRation(unsigned id, QuotaVerdict allowance, Duration come_back = {}) {
+RequestEvent RequestWithVerdict(unsigned id, QuotaVerdict verdict, Duration retry_after = {}) {
   RequestEvent event;
   event.id = RequestId{id};
   event.key = Key{id};
   event.remaining = 1s;
-  event.quota_verdict = allowance;
-  event.retry_after = come_back;
+  event.quota_verdict = verdict;
+  event.retry_after = retry_after;
   return event;
 }
 
-TEST(QuotaVerdict, OverItsRationIsRejectedAtOnceWithTheTimeToComeBack) {
+TEST(QuotaVerdict, RejectsAtOnceWithRetryAfter) {
   Settings settings = BasicSettings();
   settings.may_send_retry_after = true;
   settings.max_retry_after = 400ms;
-  Proxy proxy(settings);
-  proxy.List(Fleet(3));
-  auto soon = Only<Reject>(proxy.Take(OfRation(1, QuotaVerdict::kReject, 70ms)));
-  ASSERT_EQ(soon.size(), 1u);
-  EXPECT_EQ(soon[0].backoff, Duration(70ms));
-  EXPECT_EQ(Only<Reject>(proxy.Take(OfRation(2, QuotaVerdict::kReject, 3s)))[0].backoff, Duration(400ms));
-  EXPECT_TRUE(Only<Send>(proxy.all).empty());
-  EXPECT_NE(SentTo(proxy.Take(OfRation(3, QuotaVerdict::kWithin))), "");
+  TestRouter router(settings);
+  router.UpdateServers(MakeServerList(3));
+  auto rejected = ActionsOf<Reject>(router.Handle(RequestWithVerdict(1, QuotaVerdict::kReject, 70ms)));
+  ASSERT_EQ(rejected.size(), 1u);
+  EXPECT_EQ(rejected[0].backoff, Duration(70ms));
+  EXPECT_EQ(ActionsOf<Reject>(router.Handle(RequestWithVerdict(2, QuotaVerdict::kReject, 3s)))[0].backoff,
+            Duration(400ms));
+  EXPECT_TRUE(ActionsOf<Send>(router.all_actions).empty());
+  EXPECT_NE(SentTo(router.Handle(RequestWithVerdict(3, QuotaVerdict::kWithin))), "");
 }
 
-TEST(QuotaVerdict, NoTimeIsToldWhereTheDeploymentHasNone) {
-  Proxy proxy;
-  proxy.List(Fleet(3));
-  auto refused = Only<Reject>(proxy.Take(OfRation(1, QuotaVerdict::kReject, 70ms)));
-  ASSERT_EQ(refused.size(), 1u);
-  EXPECT_EQ(refused[0].backoff, Duration::zero());
+TEST(QuotaVerdict, RejectsWithoutRetryAfterWhereItMayNotBeSent) {
+  TestRouter router;
+  router.UpdateServers(MakeServerList(3));
+  auto rejected = ActionsOf<Reject>(router.Handle(RequestWithVerdict(1, QuotaVerdict::kReject, 70ms)));
+  ASSERT_EQ(rejected.size(), 1u);
+  EXPECT_EQ(rejected[0].backoff, Duration::zero());
 }
 
-// Both wait for the origin: the one over its ration came first and goes last.
-TEST(QuotaVerdict, OverItsRationWaitsBehindWhatIsWithin) {
-  Proxy proxy;
-  proxy.List(Fleet(2));
-  auto write = [](unsigned id, QuotaVerdict allowance) {
-    RequestEvent event = OfRation(id, allowance);
+// Both requests wait for the origin. The one over its quota arrived first and is sent last.
+TEST(QuotaVerdict, OverQuotaIsSentAfterWithinQuota) {
+  TestRouter router;
+  router.UpdateServers(MakeServerList(2));
+  auto write = [](unsigned id, QuotaVerdict verdict) {
+    RequestEvent event = RequestWithVerdict(id, verdict);
     event.cls = kKeyedWrite;
     event.write = true;
     return event;
   };
   unsigned id = 1;
-  while (!SentTo(proxy.Take(write(id, QuotaVerdict::kWithin))).empty()) ++id;  // the bound is reached: held
-  proxy.Take(write(id + 1, QuotaVerdict::kDeprioritize));
-  proxy.Take(write(id + 2, QuotaVerdict::kWithin));
+  while (!SentTo(router.Handle(write(id, QuotaVerdict::kWithin))).empty())
+    ++id;  // until the limit is reached and one waits
+  router.Handle(write(id + 1, QuotaVerdict::kDeprioritize));
+  router.Handle(write(id + 2, QuotaVerdict::kWithin));
   std::vector<unsigned> order;
   for (unsigned done = 1; done < id; ++done) {
-    for (const Send& send : Only<Send>(proxy.Answer(done, Result::kGood, 20ms)))
+    for (const Send& send : ActionsOf<Send>(router.FinishAttempt(done, Result::kGood, 20ms)))
       order.push_back(static_cast<unsigned>(send.id));
   }
   ASSERT_GE(order.size(), 3u);
   EXPECT_EQ(std::vector<unsigned>(order.begin(), order.begin() + 3), (std::vector{id, id + 2, id + 1}));
 }
 
-// A watch that stands and has nothing new is told by news without entries; the table is built on changes
-// only.
-TEST(Membership, NewsWithoutAChangeBuildNoTable) {
-  Proxy proxy;
-  proxy.List(Fleet(3));
-  proxy.Ask(1, 5);
-  EXPECT_EQ(proxy.balancer.tables_built(), 1u);
-  proxy.List({}, Scope::kDelta);
-  proxy.Ask(2, 6);
-  EXPECT_EQ(proxy.balancer.tables_built(), 1u);
-  proxy.List({Entry("cache-10", ServerState::kDraining)}, Scope::kDelta);
-  proxy.Ask(3, 7);
-  EXPECT_EQ(proxy.balancer.tables_built(), 2u);
+// An open watch without news sends updates without entries; the table is rebuilt only on changes.
+TEST(Membership, UpdateWithoutAChangeBuildsNoTable) {
+  TestRouter router;
+  router.UpdateServers(MakeServerList(3));
+  router.SendRequest(1, 5);
+  EXPECT_EQ(router.balancer.tables_built(), 1u);
+  router.UpdateServers({}, Scope::kDelta);
+  router.SendRequest(2, 6);
+  EXPECT_EQ(router.balancer.tables_built(), 1u);
+  router.UpdateServers({MakeEntry("cache-10", ServerState::kDraining)}, Scope::kDelta);
+  router.SendRequest(3, 7);
+  EXPECT_EQ(router.balancer.tables_built(), 2u);
 }
 
-// Once discovery is back the list held counts for `ask_every` more: by then it has been asked.
-TEST(Membership, AfterManyFailuresDiscoveryIsStillAskedWithinTheTimeThatTheListCounts) {
+// After discovery recovers, the held list counts as current for subscribe_interval; a new subscription must
+// begin by then.
+TEST(Membership, AfterManyFailuresSubscribesWithinSubscribeInterval) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     Settings settings = BasicSettings();
     settings.must_subscribe = true;
     settings.subscribe_interval = 4s;
-    Proxy proxy(settings, seed);
-    auto timers = Only<SetTimer>(proxy.List(Fleet(3), Scope::kCached));
-    proxy.Tick(timers[0].delay);
+    TestRouter router(settings, seed);
+    auto timers = ActionsOf<SetTimer>(router.UpdateServers(MakeServerList(3), Scope::kCached));
+    router.FireTimerAfter(timers[0].delay);
     for (int failure = 0; failure < 12; ++failure) {
-      timers = Only<SetTimer>(proxy.List({}, Scope::kFailed));
+      timers = ActionsOf<SetTimer>(router.UpdateServers({}, Scope::kFailed));
       ASSERT_EQ(timers.size(), 1u);
       EXPECT_LE(timers[0].delay, settings.subscribe_interval);
-      ASSERT_EQ(Only<Subscribe>(proxy.Tick(timers[0].delay)).size(), 1u);
+      ASSERT_EQ(ActionsOf<Subscribe>(router.FireTimerAfter(timers[0].delay)).size(), 1u);
     }
   }
 }
--- a/tests/random_test.cpp
+++ b/tests/random_test.cpp
@@ -1,5 +1,5 @@
-// Long random but legal input: the four rules hold whatever happens, and the same events give the
-// same actions. Outcomes are drawn, no server is modelled.
+// Long random but legal input: the rules of RuleChecker hold, and the same events give the same actions.
+// Outcomes are random; no server is modelled.
 #include <algorithm>
 #include <random>
 
@@ -8,62 +8,65 @@
 namespace peatbend {
 namespace {
 
-class World {
+class RandomScenario {
  public:
-  World(const Settings& settings, std::uint32_t seed)
-      : set_(settings), rng_(seed), play_(settings, 1, seed) {}
+  RandomScenario(const Settings& settings, std::uint32_t seed)
+      : settings_(settings), rng_(seed), simulation_(settings, 1, seed) {}
 
   std::string Run(int steps) {
-    Relist(Scope::kCached);
+    UpdateServerList(Scope::kCached);
     for (int step = 0; step < steps; ++step) {
-      play_.Pass(set_.tick * (1 + Draw(3)));
-      for (unsigned i = Draw(4); i > 0; --i) Arrive();
-      for (unsigned i = Draw(5); i > 0; --i) Settle();
-      if (Draw(60) == 0) Relist(Draw(5) == 0 ? Scope::kFailed : Scope::kFull);
-      if (Draw(40) == 0) play_.Leave(0, next_ - 1 - Draw(std::min(next_ - 1, 30u)));
+      simulation_.AdvanceTime(settings_.tick * (1 + RandomBelow(3)));
+      for (unsigned i = RandomBelow(4); i > 0; --i) AddRequest();
+      for (unsigned i = RandomBelow(5); i > 0; --i) FinishAnAttempt();
+      if (RandomBelow(60) == 0) UpdateServerList(RandomBelow(5) == 0 ? Scope::kFailed : Scope::kFull);
+      if (RandomBelow(40) == 0)
+        simulation_.ClientLeaves(0, next_ - 1 - RandomBelow(std::min(next_ - 1, 30u)));
     }
-    play_.Pass(std::chrono::seconds(2));
-    EXPECT_EQ(play_.checker.open(), 0u);
-    for (const std::string& rule : play_.checker.broken()) ADD_FAILURE() << rule;
-    return play_.log.str();
+    simulation_.AdvanceTime(std::chrono::seconds(2));
+    EXPECT_EQ(simulation_.checker.open(), 0u);
+    for (const std::string& rule : simulation_.checker.violations()) ADD_FAILURE() << rule;
+    return simulation_.action_log.str();
   }
 
  private:
-  unsigned Draw(unsigned below) { return rng_() % below; }
+  unsigned RandomBelow(unsigned below) { return rng_() % below; }
 
-  void Relist(Scope scope) {
+  void UpdateServerList(Scope scope) {
     std::vector<ServerEntry> list;
     if (scope != Scope::kFailed) {
       for (int i = 0; i < 7; ++i) {
-        unsigned how = Draw(12);
-        ServerEntry entry = Entry(i == 0 ? "origin" : "cache-" + std::to_string(i));
+        unsigned how = RandomBelow(12);
+        ServerEntry entry = MakeEntry(i == 0 ? "origin" : "cache-" + std::to_string(i));
         entry.state = how == 0 ? ServerState::kDraining : ServerState::kReady;
         entry.zone = i % 2;
         entry.cell = i % 3;
-        if (how == 1) started_[i] = play_.now;
+        if (how == 1) started_[i] = simulation_.now;
         entry.started = started_[i];
         if (how != 2) list.push_back(entry);
       }
     }
-    play_.List(list, scope);
+    simulation_.UpdateServers(list, scope);
   }
 
-  void Arrive() {
+  void AddRequest() {
     std::optional<Key> key;
-    if (Draw(10) > 0) key = Key{Draw(12)};
-    play_.Ask(0, next_++, key, static_cast<int>(Draw(3)), std::chrono::milliseconds(Draw(900)));
+    if (RandomBelow(10) > 0) key = Key{RandomBelow(12)};
+    simulation_.SendRequest(0, next_++, key, static_cast<int>(RandomBelow(3)),
+                            std::chrono::milliseconds(RandomBelow(900)));
   }
 
-  void Settle() {
-    auto out = static_cast<unsigned>(play_.checker.flights.size());
-    if (out == 0) return;
-    auto result = static_cast<Result>(Draw(9));
-    play_.Settle(play_.checker.flights[Draw(out)], result, std::chrono::milliseconds(1 + Draw(200)));
+  void FinishAnAttempt() {
+    auto in_flight = static_cast<unsigned>(simulation_.checker.outstanding.size());
+    if (in_flight == 0) return;
+    auto result = static_cast<Result>(RandomBelow(9));
+    simulation_.FinishAttempt(simulation_.checker.outstanding[RandomBelow(in_flight)], result,
+                              std::chrono::milliseconds(1 + RandomBelow(200)));
   }
 
-  Settings set_;
+  Settings settings_;
   std::mt19937 rng_;
-  orders::RouterSimulation play_;
+  orders::RouterSimulation simulation_;
   TimePoint started_[7] = {};
   unsigned next_ = 1;
 };
@@ -85,9 +88,9 @@
     }
     settings.routers = seed % 3 == 1 ? 500 : 1;
     settings.connection_price = settings.handshake_price = seed % 4 == 1 ? 0.03 : 0;
-    std::string once = World(settings, seed).Run(1500);
+    std::string once = RandomScenario(settings, seed).Run(1500);
     EXPECT_GT(once.size(), 1000u);
-    EXPECT_EQ(once, World(settings, seed).Run(1500));
+    EXPECT_EQ(once, RandomScenario(settings, seed).Run(1500));
   }
 }
 
--- a/tests/server_selection_test.cpp
+++ b/tests/server_selection_test.cpp
@@ -1,4 +1,4 @@
-// Which server a request goes to, by list, zone, weight and start, and what many proxies do together.
+// Server selection by membership, zone, weight and start time, and the combined effect of many routers.
 #include <set>
 #include <stdexcept>
 
@@ -7,92 +7,92 @@
 namespace peatbend {
 namespace {
 
-TEST(Choice, ProxiesAgreeWhateverTheListsOrderAndNeverPickTheOrigin) {
-  Proxy one(BasicSettings(), 1), two(BasicSettings(), 2);
-  auto list = Fleet(9);
-  one.List(list);
+TEST(ServerSelection, RoutersAgreeWhateverTheOrderOfTheListAndNeverSelectTheOrigin) {
+  TestRouter one(BasicSettings(), 1), two(BasicSettings(), 2);
+  auto list = MakeServerList(9);
+  one.UpdateServers(list);
   std::reverse(list.begin(), list.end());
-  two.List(list);
+  two.UpdateServers(list);
   std::set<std::string> used;
   for (unsigned id = 0; id < 200; ++id) {
-    std::string server = SentTo(one.Ask(id, 1000 + id));
-    EXPECT_EQ(server, SentTo(two.Ask(id, 1000 + id)));
+    std::string server = SentTo(one.SendRequest(id, 1000 + id));
+    EXPECT_EQ(server, SentTo(two.SendRequest(id, 1000 + id)));
     EXPECT_NE(server, "origin");
     used.insert(server);
-    one.Answer(id, Result::kGood);
-    two.Answer(id, Result::kGood);
+    one.FinishAttempt(id, Result::kGood);
+    two.FinishAttempt(id, Result::kGood);
   }
   EXPECT_EQ(used.size(), 9u);
 }
 
-// Found on sockets: half of all requests crossed between the zones, and the price was most of what a day
-// lost.
-TEST(Choice, ServersInTheProxysZoneTakeMoreTurnsOfTheFill) {
-  std::vector<ServerEntry> fleet = Fleet(8);
+// Without a preference for the own zone half of all requests crossed zones, at a high price.
+TEST(ServerSelection, ServersInTheZoneOfTheRouterGetMoreSlots) {
+  std::vector<ServerEntry> fleet = MakeServerList(8);
   for (std::size_t i = 0; i < fleet.size(); ++i) fleet[i].zone = static_cast<int>(i % 2);
   std::map<std::string, int> zone;
   for (const ServerEntry& entry : fleet) zone[entry.id.name] = entry.zone;
-  for (int own : {0, 1}) {
+  for (int own_zone : {0, 1}) {
     Settings settings = BasicSettings();
-    settings.zone = own;
-    Proxy proxy(settings);
-    proxy.List(fleet);
+    settings.zone = own_zone;
+    TestRouter router(settings);
+    router.UpdateServers(fleet);
     int near = 0;
     for (unsigned id = 0; id < 1000; ++id) {
-      proxy.now += 5ms;
-      near += zone[SentTo(proxy.Ask(id, id * 7919))] == own;
-      proxy.Answer(id, Result::kGood);
+      router.now += 5ms;
+      near += zone[SentTo(router.SendRequest(id, id * 7919))] == own_zone;
+      router.FinishAttempt(id, Result::kGood);
     }
     EXPECT_GT(near, 740);
-    EXPECT_LT(near, 860);  // and the far ones keep theirs
-    EXPECT_EQ(proxy.balancer.tables_built(), 1u);
+    EXPECT_LT(near, 860);  // far servers keep a share
+    EXPECT_EQ(router.balancer.tables_built(), 1u);
   }
 }
 
-// A list may state what each server is of: half of one gets half of the keys.
-TEST(Choice, ListedWeightsBecomeTurnsOfTheFill) {
-  std::vector<ServerEntry> fleet = Fleet(8);
+// A list may state the weight of each server: half the weight gets half of the keys.
+TEST(ServerSelection, ListedWeightsBecomeSlots) {
+  std::vector<ServerEntry> fleet = MakeServerList(8);
   std::map<std::string, double> weight;
   for (std::size_t i = 0; i < 8; ++i) weight[fleet[i].id.name] = fleet[i].weight = i % 2 == 0 ? 3 : 1;
-  Proxy proxy;
-  proxy.List(fleet);
+  TestRouter router;
+  router.UpdateServers(fleet);
   int heavy = 0;
   for (unsigned id = 0; id < 1000; ++id) {
-    proxy.now += 5ms;
-    heavy += weight[SentTo(proxy.Ask(id, id * 7919))] == 3;
-    proxy.Answer(id, Result::kGood);
+    router.now += 5ms;
+    heavy += weight[SentTo(router.SendRequest(id, id * 7919))] == 3;
+    router.FinishAttempt(id, Result::kGood);
   }
   EXPECT_GT(heavy, 690);
   EXPECT_LT(heavy, 810);
 }
 
-TEST(Choice, ReadGoesToTheCacheMissAndWritesToTheOrigin) {
-  Proxy proxy;
-  proxy.List(Fleet(3));
-  EXPECT_NE(SentTo(proxy.Ask(1, 5)), "origin");
-  EXPECT_EQ(SentTo(proxy.Answer(1, Result::kMiss)), "origin");
-  EXPECT_EQ(SentTo(proxy.Ask(2, 6, kKeyedWrite)), "origin");
-  EXPECT_EQ(SentTo(proxy.Ask(3, 7, kUnsafeWrite)), "origin");
+TEST(ServerSelection, ReadGoesToTheCacheMissAndWritesToTheOrigin) {
+  TestRouter router;
+  router.UpdateServers(MakeServerList(3));
+  EXPECT_NE(SentTo(router.SendRequest(1, 5)), "origin");
+  EXPECT_EQ(SentTo(router.FinishAttempt(1, Result::kMiss)), "origin");
+  EXPECT_EQ(SentTo(router.SendRequest(2, 6, kKeyedWrite)), "origin");
+  EXPECT_EQ(SentTo(router.SendRequest(3, 7, kUnsafeWrite)), "origin");
 }
 
-TEST(Choice, NothingToSendToIsRefusedAtOnce) {
-  Proxy proxy;
-  proxy.List({});
-  EXPECT_EQ(Only<Reject>(proxy.Ask(1, 5)).size(), 1u);
-  proxy.List({Entry("cache-10", ServerState::kDraining), Entry("cache-11", ServerState::kGone)});
-  EXPECT_EQ(Only<Reject>(proxy.Ask(2, 5)).size(), 1u);
-  EXPECT_EQ(Only<Reject>(proxy.Ask(3, 5, kUnsafeWrite)).size(), 1u);
+TEST(ServerSelection, RejectsAtOnceWithoutAServer) {
+  TestRouter router;
+  router.UpdateServers({});
+  EXPECT_EQ(ActionsOf<Reject>(router.SendRequest(1, 5)).size(), 1u);
+  router.UpdateServers(
+      {MakeEntry("cache-10", ServerState::kDraining), MakeEntry("cache-11", ServerState::kGone)});
+  EXPECT_EQ(ActionsOf<Reject>(router.SendRequest(2, 5)).size(), 1u);
+  EXPECT_EQ(ActionsOf<Reject>(router.SendRequest(3, 5, kUnsafeWrite)).size(), 1u);
 }
 
-TEST(Membership, NothingGoesToADrainingServerFromTheMomentItIsKnown) {
-  Proxy proxy;
-  proxy.List(Fleet(3));
-  std::string first = SentTo(proxy.Ask(1, 5));
-  proxy.Answer(1, Result::kGood);
-  proxy.List({Entry(first, ServerState::kDraining)}, Scope::kDelta);
+TEST(Membership, NothingIsSentToADrainingServerOnceItIsAnnounced) {
+  TestRouter router;
+  router.UpdateServers(MakeServerList(3));
+  std::string first = SentTo(router.SendRequest(1, 5));
+  router.FinishAttempt(1, Result::kGood);
+  router.UpdateServers({MakeEntry(first, ServerState::kDraining)}, Scope::kDelta);
   for (unsigned id = 2; id < 60; ++id) {
-    EXPECT_NE(SentTo(proxy.Ask(id, id)), first);
-    proxy.Answer(id, Result::kGood);
+    EXPECT_NE(SentTo(router.SendRequest(id, id)), first);
+    router.FinishAttempt(id, Result::kGood);
   }
 }
 
@@ -100,71 +100,71 @@
   Settings settings = BasicSettings();
   settings.must_subscribe = true;
   settings.subscribe_interval = 10s;
-  Proxy proxy(settings);
-  auto started = proxy.List(Fleet(3), Scope::kCached);
-  ASSERT_EQ(Only<SetTimer>(started).size(), 1u);
-  EXPECT_EQ(Only<Subscribe>(proxy.Tick(Only<SetTimer>(started)[0].delay)).size(), 1u);
-  auto failed = proxy.List({}, Scope::kFailed);
-  ASSERT_EQ(Only<SetTimer>(failed).size(), 1u);
-  EXPECT_TRUE(Only<Subscribe>(failed).empty());
-  EXPECT_EQ(Only<Subscribe>(proxy.Tick(Only<SetTimer>(failed)[0].delay)).size(), 1u);
-  EXPECT_NE(SentTo(proxy.Ask(1, 5)), "");  // the old list still serves
+  TestRouter router(settings);
+  auto started = router.UpdateServers(MakeServerList(3), Scope::kCached);
+  ASSERT_EQ(ActionsOf<SetTimer>(started).size(), 1u);
+  EXPECT_EQ(ActionsOf<Subscribe>(router.FireTimerAfter(ActionsOf<SetTimer>(started)[0].delay)).size(), 1u);
+  auto failed = router.UpdateServers({}, Scope::kFailed);
+  ASSERT_EQ(ActionsOf<SetTimer>(failed).size(), 1u);
+  EXPECT_TRUE(ActionsOf<Subscribe>(failed).empty());
+  EXPECT_EQ(ActionsOf<Subscribe>(router.FireTimerAfter(ActionsOf<SetTimer>(failed)[0].delay)).size(), 1u);
+  EXPECT_NE(SentTo(router.SendRequest(1, 5)), "");  // the cached list is still used
 }
 
-// Each threshold's servers were once a table of their own, a hundred starts long.
-TEST(Membership, ALongSeriesOfStartsBuildsOneTableAChange) {
-  Proxy proxy;
-  auto list = Fleet(100);
-  proxy.List(list);
+// A table for each level of warm-up would be built anew for each of a hundred starts.
+TEST(Membership, ALongSeriesOfStartsBuildsOneTablePerChange) {
+  TestRouter router;
+  auto list = MakeServerList(100);
+  router.UpdateServers(list);
   unsigned id = 1;
   for (int started = 0; started < 100; ++started) {
-    list[static_cast<std::size_t>(started)].started = proxy.now;
-    proxy.List({list[static_cast<std::size_t>(started)]}, Scope::kDelta);
+    list[static_cast<std::size_t>(started)].started = router.now;
+    router.UpdateServers({list[static_cast<std::size_t>(started)]}, Scope::kDelta);
     for (int i = 0; i < 20; ++i, ++id) {
-      proxy.now += 10ms;
-      proxy.Ask(id, id);
-      proxy.Answer(id, Result::kGood);
+      router.now += 10ms;
+      router.SendRequest(id, id);
+      router.FinishAttempt(id, Result::kGood);
     }
   }
-  EXPECT_EQ(proxy.balancer.tables_built(), 100u);  // the first list and the first start came before a request
+  EXPECT_EQ(router.balancer.tables_built(), 100u);  // the first list and the first start preceded any request
 }
 
-TEST(ColdServer, IsHandedItsKeysGradually) {
-  Proxy proxy;
-  auto list = Fleet(9);
-  list[0].started = proxy.now;
-  auto share = [&](Proxy& p, unsigned base) {
+TEST(ColdServer, GetsItsKeysGradually) {
+  TestRouter router;
+  auto list = MakeServerList(9);
+  list[0].started = router.now;
+  auto share = [&](TestRouter& p, unsigned base) {
     int cold = 0;
     for (unsigned id = base; id < base + 2000; ++id) {
       p.now += 5ms;
-      if (SentTo(p.Ask(id, id % 2000)) == list[0].id.name) ++cold;
-      p.Answer(id, Result::kGood);
+      if (SentTo(p.SendRequest(id, id % 2000)) == list[0].id.name) ++cold;
+      p.FinishAttempt(id, Result::kGood);
     }
     return cold;
   };
-  proxy.List(list);
-  int at_first = share(proxy, 0);  // over the 10 s of its warm-up
-  int later = share(proxy, 2000);
+  router.UpdateServers(list);
+  int at_first = share(router, 0);  // over the 10 s of its warm-up
+  int later = share(router, 2000);
   EXPECT_GT(at_first, 0);
   EXPECT_LT(at_first, later * 0.8);
   EXPECT_NEAR(later, 2000 / 9, 60);
 }
 
-// Found on wallet big-1: the cold budget was only a preference, so that an overloaded fleet pushed
-// over the server that had just started.
-TEST(ColdServer, GetsNoMoreThanItsPartHoweverHotAKeyIs) {
-  Proxy proxy;
-  auto list = Fleet(3);
+// The limit of a cold server must be strict: as a mere preference it let an overloaded fleet overwhelm the
+// server that had just started.
+TEST(ColdServer, GetsNoMoreThanItsShareHoweverHotAKeyIs) {
+  TestRouter router;
+  auto list = MakeServerList(3);
   for (auto& entry : list) {
-    if (entry.kind == 0) entry.started = proxy.now;
+    if (entry.kind == 0) entry.started = router.now;
   }
-  proxy.List(list);
+  router.UpdateServers(list);
   std::map<std::string, int> sent;
   for (unsigned id = 0; id < 400; ++id) {
-    proxy.now += 1ms;
-    for (const Send& send : Only<Send>(proxy.Ask(id, 5, kRead, 20ms))) {
+    router.now += 1ms;
+    for (const Send& send : ActionsOf<Send>(router.SendRequest(id, 5, kRead, 20ms))) {
       ++sent[send.server.name];
-      proxy.Answer(static_cast<unsigned>(send.id), Result::kFull);
+      router.FinishAttempt(static_cast<unsigned>(send.id), Result::kFull);
     }
   }
   for (const auto& [server, count] : sent) {
@@ -174,99 +174,102 @@
   }
 }
 
-// Found on wallet-fiji-later big-1: three sends a proxy, times 473 proxies, pushed a cold server over.
-TEST(ManyProxies, TogetherTheySendAColdServerItsPartHoweverHotItsKeyIs) {
-  auto list = Fleet(12);
-  std::vector<std::uint64_t> keys;  // of the server that is to start
-  Proxy warm(ManyProxies());
-  warm.List(list);
+// Three sends from each of 473 routers overloaded a cold server.
+TEST(ManyRouters, TogetherTheySendAColdServerItsShareHoweverHotItsKeyIs) {
+  auto list = MakeServerList(12);
+  std::vector<std::uint64_t> keys;  // of the server that will start
+  TestRouter warm(SettingsForRouters());
+  warm.UpdateServers(list);
   for (unsigned id = 1; id < 400; ++id) {
-    if (SentTo(warm.Ask(id, id)) == list[0].id.name) keys.push_back(id);
-    warm.Answer(id, Result::kGood);
+    if (SentTo(warm.SendRequest(id, id)) == list[0].id.name) keys.push_back(id);
+    warm.FinishAttempt(id, Result::kGood);
   }
   ASSERT_GT(keys.size(), 8u);
   list[0].started = TimePoint{100s};
-  int most = 0;
+  int max_sent = 0;
   for (std::size_t at = 0; at < 8; ++at) {
     int sent = 0;
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
-      Proxy proxy(ManyProxies(), seed);
-      proxy.List(list);
-      for (unsigned id = 1; id <= 8; ++id) {  // the key is half of all traffic, 2 requests a second
-        proxy.now += 500ms;
-        sent += SentTo(proxy.Ask(id, id % 2 == 0 ? keys[at] : 7777 * id + seed)) == list[0].id.name ? 1 : 0;
-        proxy.Answer(id, Result::kGood);
+      TestRouter router(SettingsForRouters(), seed);
+      router.UpdateServers(list);
+      for (unsigned id = 1; id <= 8; ++id) {  // the key makes up half of 2 requests per second
+        router.now += 500ms;
+        sent += SentTo(router.SendRequest(id, id % 2 == 0 ? keys[at] : 7777 * id + seed)) == list[0].id.name
+                    ? 1
+                    : 0;
+        router.FinishAttempt(id, Result::kGood);
       }
     }
-    most = std::max(most, sent);
+    max_sent = std::max(max_sent, sent);
   }
-  // A warm server's even part of the 2400 is 200; the cold one has a fifth to a half of its capacity and
-  // tips at 3 times that.
-  EXPECT_GT(most, 0);
-  EXPECT_LE(most, 200);
+  // An even share of the 2400 requests is 200. The cold server has a fifth to a half of its capacity and
+  // fails at 3 times that.
+  EXPECT_GT(max_sent, 0);
+  EXPECT_LE(max_sent, 200);
 }
 
-// Found on wallet-fiji-later big-1: 41% of attempts were turned away, as each alternate was full too.
-TEST(ManyProxies, AFullAnswerTakesAReadStraightToTheOrigin) {
-  Proxy proxy(ManyProxies());
-  proxy.List(Fleet(12));
-  proxy.Ask(1, 5);
-  EXPECT_EQ(SentTo(proxy.Answer(1, Result::kFull)), "origin");
+// 41% of attempts were turned away when a read went to an alternate, since each alternate was full too.
+TEST(ManyRouters, AReadThatAFullServerTurnedAwayGoesToTheOrigin) {
+  TestRouter router(SettingsForRouters());
+  router.UpdateServers(MakeServerList(12));
+  router.SendRequest(1, 5);
+  EXPECT_EQ(SentTo(router.FinishAttempt(1, Result::kFull)), "origin");
 }
 
-// Found on bris-booking-later: 60% of attempts got no connection, as every proxy held one at every server.
-TEST(ManyProxies, IdleConnectionsAreClosedWhereTheirPriceIsOverThatOfNewOnes) {
+// 60% of attempts got no connection when every router kept an idle one at every server.
+TEST(ManyRouters, IdleConnectionsAreClosedWhereTheyCostMoreThanNewOnes) {
   auto releases = [](int routers) {
-    Settings settings = ManyProxies(routers);
+    Settings settings = SettingsForRouters(routers);
     settings.connection_price = settings.handshake_price = 0.03;
     settings.keepalive = 60s;
-    Proxy proxy(settings);
-    proxy.List(Fleet(12));
-    proxy.Ask(1, 5);
-    auto actions = proxy.Answer(1, Result::kGood);
-    if (Only<CloseIdleConnections>(actions).empty()) actions = proxy.Tick(20s);
-    return std::pair(Only<CloseIdleConnections>(actions).size(), proxy.now == TimePoint{100s});
+    TestRouter router(settings);
+    router.UpdateServers(MakeServerList(12));
+    router.SendRequest(1, 5);
+    auto actions = router.FinishAttempt(1, Result::kGood);
+    if (ActionsOf<CloseIdleConnections>(actions).empty()) actions = router.FireTimerAfter(20s);
+    return std::pair(ActionsOf<CloseIdleConnections>(actions).size(), router.now == TimePoint{100s});
   };
   EXPECT_EQ(releases(500), std::pair(std::size_t{1}, true));  // at once
   EXPECT_EQ(releases(120), std::pair(std::size_t{1}, true));
-  EXPECT_EQ(releases(3).first, 0u);  // left to close by themselves
+  EXPECT_EQ(releases(3).first, 0u);  // they close when their keepalive ends
 }
 
-TEST(ManyProxies, DiscoveryIsNotAskedByAllAtOnceAfterARestart) {
-  Settings settings = ManyProxies();
+TEST(ManyRouters, SubscriptionsAreSpreadAfterARestart) {
+  Settings settings = SettingsForRouters();
   settings.must_subscribe = true;
   int at_once = 0;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-    Proxy proxy(settings, seed);
-    at_once += static_cast<int>(Only<Subscribe>(proxy.List(Fleet(3), Scope::kCached)).size() +
-                                Only<Subscribe>(proxy.Tick(20ms)).size());
+    TestRouter router(settings, seed);
+    at_once += static_cast<int>(
+        ActionsOf<Subscribe>(router.UpdateServers(MakeServerList(3), Scope::kCached)).size() +
+        ActionsOf<Subscribe>(router.FireTimerAfter(20ms)).size());
   }
   EXPECT_LE(at_once, 5);
 }
 
-// Found on bris-booking-later big-2: a time-out's own retry doubled the load of a slowed fleet. And on
-// athens-push: half of the time for a first try loses more to work begun anew than second tries bring.
+// Shorter timeouts do harm: a retry after a timeout doubles the load of a slow fleet, and giving the first
+// attempt half of the time wastes more work than second attempts recover.
 TEST(Attempts, AnAttemptLastsAsLongAsItsClientWaits) {
   for (int routers : {1, 500}) {
-    Proxy proxy(ManyProxies(routers));
-    proxy.List(Fleet(12));
-    EXPECT_EQ(Only<Send>(proxy.Ask(1, 5)).at(0).give_up_after, 1s);
+    TestRouter router(SettingsForRouters(routers));
+    router.UpdateServers(MakeServerList(12));
+    EXPECT_EQ(ActionsOf<Send>(router.SendRequest(1, 5)).at(0).give_up_after, 1s);
   }
 }
 
-// Found on bris-booking-later overload: a bell that rang 349 ns early was taken for another's.
-TEST(Time, ATimerThatRingsALittleEarlyIsArmedAgain) {
-  Proxy proxy;
-  proxy.List(Fleet(1));
+// A timer that fired 349 ns early was taken for another one, so that no timer was armed any more.
+TEST(Time, ATimerThatFiresSlightlyEarlyIsArmedAgain) {
+  TestRouter router;
+  router.UpdateServers(MakeServerList(1));
   unsigned id = 1;
-  while (!SentTo(proxy.Ask(id, id)).empty()) ++id;  // the bound is reached: held
-  auto timers = Only<SetTimer>(proxy.all);
+  while (!SentTo(router.SendRequest(id, id)).empty()) ++id;  // until the limit is reached and one waits
+  auto timers = ActionsOf<SetTimer>(router.all_actions);
   ASSERT_FALSE(timers.empty());
-  auto early = proxy.Tick(timers.back().delay - 349ns);
-  EXPECT_FALSE(Only<SetTimer>(early).empty());
+  auto early = router.FireTimerAfter(timers.back().delay - 349ns);
+  EXPECT_FALSE(ActionsOf<SetTimer>(early).empty());
 }
 
-TEST(Settings, NonsenseIsNamed) {
+TEST(Settings, InvalidFieldsAreNamed) {
   auto field = [](auto change) {
     Settings settings = BasicSettings();
     change(settings);
@@ -289,8 +292,8 @@
   EXPECT_NE(field([](Settings& s) { s.attempt_window = 1s; }).find("attempt_window"), std::string::npos);
   EXPECT_NE(field([](Settings& s) { s.free_resends = 1; }).find("attempt_window"), std::string::npos);
   EXPECT_EQ(field([](Settings&) {}), "");
-  Proxy proxy;
-  EXPECT_THROW(proxy.Ask(1, 5, 9), std::invalid_argument);
+  TestRouter router;
+  EXPECT_THROW(router.SendRequest(1, 5, 9), std::invalid_argument);
 }
 
 }  // namespace
--- a/tests/shared_trials_test.cpp
+++ b/tests/shared_trials_test.cpp
@@ -1,166 +1,173 @@
-// Trials of ejected servers where the fleet shares them: asked for, not taken.
+// Trials of ejected servers where the fleet coordinates them: a router runs a trial only when it is told to.
 #include "harness.h"
 
 namespace peatbend {
 namespace {
 
-// A proxy before six servers, of which the one that key 5 goes to is dead.
-class Shared : public Proxy {
+// A router with six servers; the one that key 5 maps to fails.
+class SharedTrialsRouter : public TestRouter {
  public:
-  explicit Shared(bool shared = true) : Proxy(With(shared)) {
-    List(Fleet(6));
-    dead = SentTo(Ask(++id, 5));
-    Answer(id, Result::kGood);
+  explicit SharedTrialsRouter(bool shared = true) : TestRouter(MakeSettings(shared)) {
+    UpdateServers(MakeServerList(6));
+    failing_server = SentTo(SendRequest(++id, 5));
+    FinishAttempt(id, Result::kGood);
   }
-  // Asks for the dead server's key until it is ejected; what is asked of the fleet is told.
-  std::vector<ReportTrial> Kill() {
-    std::size_t before = all.size();
-    for (int i = 0; i < 6 && SentTo(Ask(++id, 5)) == dead; ++i) {
-      Answer(id, Result::kNoConn);
-      Answer(id, Result::kGood);
+  // Requests the key of the failing server until it is ejected; returns the trial reports.
+  std::vector<ReportTrial> FailUntilEjected() {
+    std::size_t before = all_actions.size();
+    for (int i = 0; i < 6 && SentTo(SendRequest(++id, 5)) == failing_server; ++i) {
+      FinishAttempt(id, Result::kNoConn);
+      FinishAttempt(id, Result::kGood);
     }
-    return Only<ReportTrial>({all.begin() + static_cast<std::ptrdiff_t>(before), all.end()});
+    return ActionsOf<ReportTrial>(
+        {all_actions.begin() + static_cast<std::ptrdiff_t>(before), all_actions.end()});
   }
-  bool Goes() {
-    bool there = SentTo(Ask(++id, 5)) == dead;
-    Answer(id, there ? Result::kNoConn : Result::kGood);
-    if (there) Answer(id, Result::kGood);
-    return there;
+  bool ReachesFailingServer() {
+    bool sent_to_it = SentTo(SendRequest(++id, 5)) == failing_server;
+    FinishAttempt(id, sent_to_it ? Result::kNoConn : Result::kGood);
+    if (sent_to_it) FinishAttempt(id, Result::kGood);
+    return sent_to_it;
+  }
+  std::vector<Action> Direct(TrialDirective directive) {
+    return Handle(TrialEvent{ServerId{failing_server}, directive});
   }
-  std::vector<Action> Say(TrialDirective word) { return Take(TrialEvent{ServerId{dead}, word}); }
 
   unsigned id = 0;
-  std::string dead;
+  std::string failing_server;
 
  private:
-  static Settings With(bool shared) {
+  static Settings MakeSettings(bool shared) {
     Settings settings = BasicSettings();
     settings.shared_trials = shared;
     return settings;
   }
 };
 
-TEST(SharedTrials, AnEjectedServerIsNotTriedBeforeTheFleetSaysSo) {
-  Shared proxy;
-  std::vector<ReportTrial> asked = proxy.Kill();
-  ASSERT_EQ(asked.size(), 1u);
-  EXPECT_EQ(asked[0].server.name, proxy.dead);
-  EXPECT_FALSE(asked[0].healthy);
-  proxy.now += 60s;
-  EXPECT_FALSE(proxy.Goes());
-  proxy.Say(TrialDirective::kTry);
-  SentTo(proxy.Ask(++proxy.id, 5));
-  EXPECT_NE(SentTo(proxy.Ask(++proxy.id, 5)), proxy.dead);  // one request at a time is its trial
-  proxy.Answer(proxy.id - 1, Result::kNoConn);
-  EXPECT_EQ(Only<ReportTrial>(proxy.all).size(), 2u);
-  EXPECT_FALSE(proxy.Goes());
-  proxy.Say(TrialDirective::kTry);
-  EXPECT_EQ(SentTo(proxy.Ask(++proxy.id, 5)), proxy.dead);
-  auto told = Only<ReportTrial>(proxy.Answer(proxy.id, Result::kGood));
-  ASSERT_EQ(told.size(), 1u);
-  EXPECT_TRUE(told[0].healthy);
-  EXPECT_EQ(proxy.balancer.unavailable(), 0u);
+TEST(SharedTrials, AnEjectedServerGetsNoTrialBeforeTheFleetDirectsIt) {
+  SharedTrialsRouter router;
+  std::vector<ReportTrial> reports = router.FailUntilEjected();
+  ASSERT_EQ(reports.size(), 1u);
+  EXPECT_EQ(reports[0].server.name, router.failing_server);
+  EXPECT_FALSE(reports[0].healthy);
+  router.now += 60s;
+  EXPECT_FALSE(router.ReachesFailingServer());
+  router.Direct(TrialDirective::kTry);
+  SentTo(router.SendRequest(++router.id, 5));
+  EXPECT_NE(SentTo(router.SendRequest(++router.id, 5)),
+            router.failing_server);  // only one request at a time is used as a trial
+  router.FinishAttempt(router.id - 1, Result::kNoConn);
+  EXPECT_EQ(ActionsOf<ReportTrial>(router.all_actions).size(), 2u);
+  EXPECT_FALSE(router.ReachesFailingServer());
+  router.Direct(TrialDirective::kTry);
+  EXPECT_EQ(SentTo(router.SendRequest(++router.id, 5)), router.failing_server);
+  auto reports_after_trial = ActionsOf<ReportTrial>(router.FinishAttempt(router.id, Result::kGood));
+  ASSERT_EQ(reports_after_trial.size(), 1u);
+  EXPECT_TRUE(reports_after_trial[0].healthy);
+  EXPECT_EQ(router.balancer.unavailable(), 0u);
 }
 
-TEST(SharedTrials, ATrialThatIsGivenToAnotherIsNotMade) {
-  Shared proxy;
-  proxy.Kill();
-  proxy.Say(TrialDirective::kTry);
-  proxy.Say(TrialDirective::kWait);
-  proxy.now += 60s;
-  EXPECT_FALSE(proxy.Goes());
+TEST(SharedTrials, ATrialThatIsGivenToAnotherRouterIsNotRun) {
+  SharedTrialsRouter router;
+  router.FailUntilEjected();
+  router.Direct(TrialDirective::kTry);
+  router.Direct(TrialDirective::kWait);
+  router.now += 60s;
+  EXPECT_FALSE(router.ReachesFailingServer());
 }
 
-TEST(SharedTrials, AServerBroughtBackByAnotherIsEjectedByOneFailure) {
-  Shared proxy;
-  proxy.Kill();
-  proxy.Say(TrialDirective::kReadmit);
-  EXPECT_EQ(proxy.balancer.unavailable(), 0u);
-  EXPECT_TRUE(proxy.Goes());
-  EXPECT_EQ(proxy.balancer.unavailable(), 1u);
-  EXPECT_EQ(Only<ReportTrial>(proxy.all).size(), 2u);
+TEST(SharedTrials, AServerReadmittedByAnotherRouterIsEjectedByOneFailure) {
+  SharedTrialsRouter router;
+  router.FailUntilEjected();
+  router.Direct(TrialDirective::kReadmit);
+  EXPECT_EQ(router.balancer.unavailable(), 0u);
+  EXPECT_TRUE(router.ReachesFailingServer());
+  EXPECT_EQ(router.balancer.unavailable(), 1u);
+  EXPECT_EQ(ActionsOf<ReportTrial>(router.all_actions).size(), 2u);
 }
 
-// A proxy that alone does not reach a server: for all others it is fine, so nobody else's trial tells it.
-TEST(SharedTrials, AProxyThatIsBroughtBackInVainTriesForItself) {
-  Shared proxy;
-  proxy.Kill();
-  int there = 0;
-  for (int i = 0; i < 600; ++i) {  // a minute, in which the fleet brings it back ten times a second
-    proxy.now += 100ms;
-    proxy.Say(TrialDirective::kReadmit);
-    there += proxy.Goes() ? 1 : 0;
+// One router alone cannot reach a server, so the trials of the others keep succeeding.
+TEST(SharedTrials, ARouterWhoseReadmissionsFailRunsItsOwnTrials) {
+  SharedTrialsRouter router;
+  router.FailUntilEjected();
+  int sent_to_it = 0;
+  for (int i = 0; i < 600; ++i) {  // a minute, in which the fleet readmits it ten times a second
+    router.now += 100ms;
+    router.Direct(TrialDirective::kReadmit);
+    sent_to_it += router.ReachesFailingServer() ? 1 : 0;
   }
-  EXPECT_GE(there, 6);
-  EXPECT_LE(there, 16);
-  proxy.now += 20s;
-  EXPECT_EQ(SentTo(proxy.Ask(++proxy.id, 5)), proxy.dead);
-  proxy.Answer(proxy.id, Result::kGood);
-  proxy.Kill();
-  proxy.now += 60s;
-  EXPECT_FALSE(proxy.Goes());  // it has answered here, so trials are the fleet's again
+  EXPECT_GE(sent_to_it, 6);
+  EXPECT_LE(sent_to_it, 16);
+  router.now += 20s;
+  EXPECT_EQ(SentTo(router.SendRequest(++router.id, 5)), router.failing_server);
+  router.FinishAttempt(router.id, Result::kGood);
+  router.FailUntilEjected();
+  router.now += 60s;
+  EXPECT_FALSE(
+      router.ReachesFailingServer());  // it has answered here, so the fleet coordinates its trials again
 }
 
-TEST(SharedTrials, AProxyThatHasNotEjectedTellsItsNextOutcome) {
-  Shared proxy;
-  EXPECT_TRUE(Only<ReportTrial>(proxy.Say(TrialDirective::kTry)).empty());
-  EXPECT_EQ(SentTo(proxy.Ask(++proxy.id, 5)), proxy.dead);
-  auto told = Only<ReportTrial>(proxy.Answer(proxy.id, Result::kGood));
-  ASSERT_EQ(told.size(), 1u);
-  EXPECT_TRUE(told[0].healthy);
-  proxy.Say(TrialDirective::kTry);
-  proxy.Ask(++proxy.id, 5);
-  told = Only<ReportTrial>(proxy.Answer(proxy.id, Result::kReset));
-  ASSERT_EQ(told.size(), 1u);
-  EXPECT_FALSE(told[0].healthy);
+TEST(SharedTrials, ARouterThatHasNotEjectedReportsItsNextOutcome) {
+  SharedTrialsRouter router;
+  EXPECT_TRUE(ActionsOf<ReportTrial>(router.Direct(TrialDirective::kTry)).empty());
+  EXPECT_EQ(SentTo(router.SendRequest(++router.id, 5)), router.failing_server);
+  auto reports_after_trial = ActionsOf<ReportTrial>(router.FinishAttempt(router.id, Result::kGood));
+  ASSERT_EQ(reports_after_trial.size(), 1u);
+  EXPECT_TRUE(reports_after_trial[0].healthy);
+  router.Direct(TrialDirective::kTry);
+  router.SendRequest(++router.id, 5);
+  reports_after_trial = ActionsOf<ReportTrial>(router.FinishAttempt(router.id, Result::kReset));
+  ASSERT_EQ(reports_after_trial.size(), 1u);
+  EXPECT_FALSE(reports_after_trial[0].healthy);
 }
 
 TEST(SharedTrials, AServerThatOthersHaveEjectedIsEjectedByOneFailure) {
-  Shared proxy;
-  proxy.Say(TrialDirective::kWait);
-  EXPECT_TRUE(proxy.Goes());
-  EXPECT_EQ(proxy.balancer.unavailable(), 1u);
-  Shared other;
-  other.Say(TrialDirective::kWait);
-  other.Say(TrialDirective::kReadmit);
-  EXPECT_TRUE(other.Goes());
+  SharedTrialsRouter router;
+  router.Direct(TrialDirective::kWait);
+  EXPECT_TRUE(router.ReachesFailingServer());
+  EXPECT_EQ(router.balancer.unavailable(), 1u);
+  SharedTrialsRouter other;
+  other.Direct(TrialDirective::kWait);
+  other.Direct(TrialDirective::kReadmit);
+  EXPECT_TRUE(other.ReachesFailingServer());
   EXPECT_EQ(other.balancer.unavailable(), 0u);
 }
 
-TEST(SharedTrials, ATrialIsWhateverRequestComesNext) {
-  Shared proxy;
-  proxy.Kill();
+TEST(SharedTrials, TheNextEligibleRequestIsTheTrial) {
+  SharedTrialsRouter router;
+  router.FailUntilEjected();
   unsigned key = 6;
-  std::string own = SentTo(proxy.Ask(++proxy.id, key));
-  proxy.Answer(proxy.id, Result::kGood);
-  ASSERT_NE(own, proxy.dead);
-  proxy.Say(TrialDirective::kTry);
-  EXPECT_EQ(SentTo(proxy.Ask(++proxy.id, key)), proxy.dead);
-  EXPECT_EQ(SentTo(proxy.Ask(++proxy.id, key)), own);  // one is enough
-  EXPECT_EQ(Only<ReportTrial>(proxy.Answer(proxy.id - 1, Result::kGood)).size(), 1u);
-  EXPECT_EQ(SentTo(proxy.Ask(++proxy.id, key)), own);
+  std::string home_server = SentTo(router.SendRequest(++router.id, key));
+  router.FinishAttempt(router.id, Result::kGood);
+  ASSERT_NE(home_server, router.failing_server);
+  router.Direct(TrialDirective::kTry);
+  EXPECT_EQ(SentTo(router.SendRequest(++router.id, key)), router.failing_server);
+  EXPECT_EQ(SentTo(router.SendRequest(++router.id, key)), home_server);  // one trial is enough
+  EXPECT_EQ(ActionsOf<ReportTrial>(router.FinishAttempt(router.id - 1, Result::kGood)).size(), 1u);
+  EXPECT_EQ(SentTo(router.SendRequest(++router.id, key)), home_server);
 }
 
-TEST(SharedTrials, AServerThatIsOutByWordIsNotAskedUntilItIsBack) {
-  Shared proxy;
-  EXPECT_TRUE(Only<ReportTrial>(proxy.Say(TrialDirective::kEject)).empty());  // nothing was seen here
-  proxy.now += 60s;
-  EXPECT_FALSE(proxy.Goes());
-  proxy.Say(TrialDirective::kReadmit);
-  EXPECT_TRUE(proxy.Goes());
+TEST(SharedTrials, AServerEjectedByDirectiveGetsNothingUntilItIsReadmitted) {
+  SharedTrialsRouter router;
+  EXPECT_TRUE(ActionsOf<ReportTrial>(router.Direct(TrialDirective::kEject))
+                  .empty());  // this router has observed no failure
+  router.now += 60s;
+  EXPECT_FALSE(router.ReachesFailingServer());
+  router.Direct(TrialDirective::kReadmit);
+  EXPECT_TRUE(router.ReachesFailingServer());
 }
 
-TEST(SharedTrials, MostServersAreNotOutByWord) {
-  Shared proxy;
-  for (const ServerEntry& entry : Fleet(6)) proxy.Take(TrialEvent{entry.id, TrialDirective::kEject});
-  EXPECT_EQ(proxy.balancer.unavailable(), 3u);
+TEST(SharedTrials, NotMostServersAreEjectedByDirective) {
+  SharedTrialsRouter router;
+  for (const ServerEntry& entry : MakeServerList(6))
+    router.Handle(TrialEvent{entry.id, TrialDirective::kEject});
+  EXPECT_EQ(router.balancer.unavailable(), 3u);
 }
 
-TEST(SharedTrials, WithoutThemNothingIsAskedAndEachTriesForItself) {
-  Shared proxy(false);
-  EXPECT_TRUE(proxy.Kill().empty());
-  proxy.now += 3s;
-  EXPECT_TRUE(proxy.Goes());
+TEST(SharedTrials, WithoutThemNothingIsReportedAndEachRouterRunsItsOwnTrials) {
+  SharedTrialsRouter router(false);
+  EXPECT_TRUE(router.FailUntilEjected().empty());
+  router.now += 3s;
+  EXPECT_TRUE(router.ReachesFailingServer());
 }
 
 }  // namespace
--- a/tests/subscription_test.cpp
+++ b/tests/subscription_test.cpp
@@ -1,4 +1,4 @@
-// When the module asks discovery again: on a passed-in clock, against a discovery whose answers are scripted.
+// When the balancer subscribes to discovery again, in simulated time and with scripted answers of discovery.
 #include <algorithm>
 #include <set>
 
@@ -7,47 +7,47 @@
 namespace peatbend {
 namespace {
 
-// A change counts as told so long after discovery had it and could be reached; the last call that is to bring
-// it has to begin sooner, so that there is time left for its answer.
-constexpr Duration kToldAfter = 6s, kLastCallBy = 4500ms;
+// A router counts as informed of a change this long after discovery had it and was reachable; the
+// subscription that is to deliver it must begin earlier, so that there is time for the answer.
+constexpr Duration kInformedAfter = 6s, kLastCallBy = 4500ms;
 
-// One router and the discovery that it asks. `answer` says how a call ends, and after how long.
-class Discovery {
+// One router and its discovery. `answers` says how each call ends, and after how long.
+class DiscoverySimulation {
  public:
   struct Answer {
     bool listed = false;
     Duration after{};
-    Duration watch{Duration::max()};  // listed: for so long the watch stands then
+    Duration watch{Duration::max()};  // if listed: how long the watch stays open
   };
   using Answers = std::function<Answer(TimePoint)>;
 
-  Discovery(const Settings& settings, std::uint64_t seed, Answers answers)
-      : proxy_(settings, seed), answers_(std::move(answers)) {
-    Carry(proxy_.List(Fleet(3), Scope::kCached));
+  DiscoverySimulation(const Settings& settings, std::uint64_t seed, Answers answers)
+      : router_(settings, seed), answers_(std::move(answers)) {
+    CarryOut(router_.UpdateServers(MakeServerList(3), Scope::kCached));
   }
 
   void RunUntil(TimePoint end) {
-    while (!due_.empty() && due_.begin()->at <= end) {
-      Due due = due_.extract(due_.begin()).value();
-      proxy_.now = due.at;
-      switch (due.what) {
-        case What::kTimer:
-          Carry(proxy_.Tick({}));
+    while (!pending_.empty() && pending_.begin()->at <= end) {
+      PendingEvent due = pending_.extract(pending_.begin()).value();
+      router_.now = due.at;
+      switch (due.kind) {
+        case Kind::kTimer:
+          CarryOut(router_.FireTimerAfter({}));
           break;
-        case What::kListed:
-          Carry(proxy_.List({}, Scope::kDelta));
+        case Kind::kListed:
+          CarryOut(router_.UpdateServers({}, Scope::kDelta));
           break;
-        case What::kFailed:
+        case Kind::kFailed:
           failures.push_back(due.at);
-          Carry(proxy_.List({}, Scope::kFailed));
+          CarryOut(router_.UpdateServers({}, Scope::kFailed));
           break;
       }
     }
-    proxy_.now = end;
+    router_.now = end;
   }
 
-  TimePoint now() const { return proxy_.now; }
-  // The first call that begins at that time or later.
+  TimePoint now() const { return router_.now; }
+  // The first call that begins at this time or later.
   TimePoint CallFrom(TimePoint at) const {
     auto call = std::lower_bound(calls.begin(), calls.end(), at);
     return call == calls.end() ? TimePoint::max() : *call;
@@ -60,32 +60,33 @@
   std::vector<TimePoint> calls, failures;
 
  private:
-  enum class What { kTimer, kListed, kFailed };
-  struct Due {
+  enum class Kind { kTimer, kListed, kFailed };
+  struct PendingEvent {
     TimePoint at;
     std::size_t order;
-    What what;
-    auto operator<=>(const Due&) const = default;
+    Kind kind;
+    auto operator<=>(const PendingEvent&) const = default;
   };
 
-  void At(Duration in, What what) { due_.insert({proxy_.now + in, order_++, what}); }
+  void Schedule(Duration in, Kind kind) { pending_.insert({router_.now + in, order_++, kind}); }
 
-  void Carry(const std::vector<Action>& actions) {
-    for (const SetTimer& timer : Only<SetTimer>(actions)) At(timer.delay, What::kTimer);
-    if (Only<Subscribe>(actions).empty()) return;
-    calls.push_back(proxy_.now);
-    Answer answer = answers_(proxy_.now);
-    At(answer.after, answer.listed ? What::kListed : What::kFailed);
-    if (answer.listed && answer.watch != Duration::max()) At(answer.after + answer.watch, What::kFailed);
+  void CarryOut(const std::vector<Action>& actions) {
+    for (const SetTimer& timer : ActionsOf<SetTimer>(actions)) Schedule(timer.delay, Kind::kTimer);
+    if (ActionsOf<Subscribe>(actions).empty()) return;
+    calls.push_back(router_.now);
+    Answer answer = answers_(router_.now);
+    Schedule(answer.after, answer.listed ? Kind::kListed : Kind::kFailed);
+    if (answer.listed && answer.watch != Duration::max())
+      Schedule(answer.after + answer.watch, Kind::kFailed);
   }
 
-  Proxy proxy_;
+  TestRouter router_;
   Answers answers_;
-  std::set<Due> due_;
+  std::set<PendingEvent> pending_;
   std::size_t order_ = 0;
 };
 
-Settings Subscribing(Duration subscribe_interval, int routers = 1) {
+Settings SettingsWithSubscription(Duration subscribe_interval, int routers = 1) {
   Settings settings = BasicSettings();
   settings.must_subscribe = true;
   settings.subscribe_interval = subscribe_interval;
@@ -93,57 +94,58 @@
   return settings;
 }
 
-constexpr Duration kAskEvery[] = {0s, 500ms, 2s, 4s, 10s, 60s};
+constexpr Duration kSubscribeIntervals[] = {0s, 500ms, 2s, 4s, 10s, 60s};
 
-// Whenever discovery returns, also while a call that it never answered is still out, a whole new call begins
-// in time.
-TEST(Subscription, ACallBeginsInTimeWheneverDiscoveryReturns) {
+// Whenever discovery recovers, even while a call that it never answered is pending, a new call begins in
+// time.
+TEST(Subscription, ACallBeginsInTimeWheneverDiscoveryRecovers) {
   const Duration fails_after[] = {0s, 300ms, 1200ms, 3s};
-  for (Duration subscribe_interval : kAskEvery) {
+  for (Duration subscribe_interval : kSubscribeIntervals) {
     for (Duration after : fails_after) {
       for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         SCOPED_TRACE(testing::Message()
                      << subscribe_interval.count() << " ns, " << after.count() << " ns, " << seed);
-        Discovery discovery(Subscribing(subscribe_interval), seed, [&](TimePoint) {
-          return Discovery::Answer{false, after};
+        DiscoverySimulation discovery(SettingsWithSubscription(subscribe_interval), seed, [&](TimePoint) {
+          return DiscoverySimulation::Answer{false, after};
         });
         TimePoint from = discovery.now() + 1s, end = from + 60s;
         discovery.RunUntil(end);
-        for (TimePoint back = from; back + kToldAfter < end; back += 100ms)
-          ASSERT_LE(discovery.CallFrom(back) - back, kLastCallBy) << (back - from).count();
+        for (TimePoint recovered = from; recovered + kInformedAfter < end; recovered += 100ms)
+          ASSERT_LE(discovery.CallFrom(recovered) - recovered, kLastCallBy) << (recovered - from).count();
       }
     }
   }
 }
 
-// Of those that call at once at its return discovery turns some away: these are to have another try in time.
-TEST(Subscription, ACallThatIsTurnedAwayAtTheReturnIsRepeatedInTime) {
-  for (Duration subscribe_interval : kAskEvery) {
+// Discovery may reject calls at the moment of its recovery; these are repeated in time.
+TEST(Subscription, ACallThatIsRejectedAtTheRecoveryIsRepeatedInTime) {
+  for (Duration subscribe_interval : kSubscribeIntervals) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       SCOPED_TRACE(testing::Message() << subscribe_interval.count() << " ns, " << seed);
-      Discovery discovery(Subscribing(subscribe_interval), seed,
-                          [](TimePoint) { return Discovery::Answer{}; });
+      DiscoverySimulation discovery(SettingsWithSubscription(subscribe_interval), seed,
+                                    [](TimePoint) { return DiscoverySimulation::Answer{}; });
       TimePoint from = discovery.now() + 1s, end = from + 60s;
       discovery.RunUntil(end);
-      for (TimePoint back = from; back + kToldAfter < end; back += 100ms)
-        ASSERT_GE(discovery.CallsBetween(back, back + kLastCallBy + 1ms), 2u) << (back - from).count();
+      for (TimePoint recovered = from; recovered + kInformedAfter < end; recovered += 100ms)
+        ASSERT_GE(discovery.CallsBetween(recovered, recovered + kLastCallBy + 1ms), 2u)
+            << (recovered - from).count();
     }
   }
 }
 
-// Neither a discovery that is down nor one whose watches end as soon as they have told their list is called
-// without a pause.
+// Discovery is never called in a tight loop, neither when it is down nor when it closes each watch at once.
 TEST(Subscription, NoFailureLeadsToATightLoop) {
-  const Discovery::Answer kinds[] = {
+  const DiscoverySimulation::Answer kinds[] = {
       {}, {true, 0s, 0s}, {true, 10ms, 0s}, {true, 0s, 10ms}, {true, 0s, 900ms}};
   for (Duration subscribe_interval : {Duration(0s), Duration(10s)}) {
-    for (const Discovery::Answer& answer : kinds) {
+    for (const DiscoverySimulation::Answer& answer : kinds) {
       for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         SCOPED_TRACE(testing::Message()
                      << subscribe_interval.count() << " ns, seed " << seed << ", " << answer.watch.count());
-        Discovery discovery(Subscribing(subscribe_interval), seed, [&](TimePoint) { return answer; });
+        DiscoverySimulation discovery(SettingsWithSubscription(subscribe_interval), seed,
+                                      [&](TimePoint) { return answer; });
         discovery.RunUntil(discovery.now() + 60s);
-        EXPECT_LE(discovery.calls.size(), 52u);  // 1.5 s apart in the mean, and a few at first
+        EXPECT_LE(discovery.calls.size(), 52u);  // 1.5 s apart on average, and a few at first
         for (TimePoint failure : discovery.failures) {
           TimePoint next = discovery.CallFrom(failure + 1ns);
           if (next < discovery.now()) EXPECT_GE(next - failure, 200ms);
@@ -153,13 +155,13 @@
   }
 }
 
-// A watch that has stood says nothing against discovery: its end is followed by the shortest pause.
-TEST(Subscription, AWatchThatStoodIsReplacedSoon) {
+// After a watch that stayed open for long the backoff starts again at its minimum.
+TEST(Subscription, AWatchThatStayedOpenIsReplacedSoon) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     int call = 0;
-    Discovery discovery(Subscribing(10s), seed, [&](TimePoint) {
-      bool stands = ++call > 6;  // after some failures, so that the pauses have grown
-      return Discovery::Answer{stands, 5ms, 20s};
+    DiscoverySimulation discovery(SettingsWithSubscription(10s), seed, [&](TimePoint) {
+      bool stays_open = ++call > 6;  // after some failures, so that the backoff has grown
+      return DiscoverySimulation::Answer{stays_open, 5ms, 20s};
     });
     discovery.RunUntil(discovery.now() + 120s);
     ASSERT_GE(call, 8);
@@ -171,16 +173,17 @@
   }
 }
 
-// Hundreds of routers that lost discovery at the same moment do not come back at the same moment.
-TEST(Subscription, RoutersComeBackSpread) {
+// Hundreds of routers that lost discovery at the same time do not call it again at the same time.
+TEST(Subscription, RoutersCallAgainAtSpreadTimes) {
   constexpr int kRouters = 300;
   std::vector<TimePoint> first;
-  TimePoint back{};
+  TimePoint recovered{};
   for (std::uint64_t seed = 1; seed <= kRouters; ++seed) {
-    Discovery discovery(Subscribing(10s, kRouters), seed, [](TimePoint) { return Discovery::Answer{}; });
-    back = discovery.now() + 20s;
-    discovery.RunUntil(back + 10s);
-    first.push_back(discovery.CallFrom(back));
+    DiscoverySimulation discovery(SettingsWithSubscription(10s, kRouters), seed,
+                                  [](TimePoint) { return DiscoverySimulation::Answer{}; });
+    recovered = discovery.now() + 20s;
+    discovery.RunUntil(recovered + 10s);
+    first.push_back(discovery.CallFrom(recovered));
   }
   std::sort(first.begin(), first.end());
   for (auto from = first.begin(); from != first.end(); ++from) {
@@ -189,11 +192,12 @@
   }
 }
 
-// However many routers there are, none waits long at its start with a list that may be old or empty.
+// However many routers there are, none keeps a cached list that may be old or empty for long after its start.
 TEST(Subscription, TheFirstCallIsMadeSoon) {
   for (int routers : {1, 300, 3000, 100000}) {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-      Discovery discovery(Subscribing(10s, routers), seed, [](TimePoint) { return Discovery::Answer{true}; });
+      DiscoverySimulation discovery(SettingsWithSubscription(10s, routers), seed,
+                                    [](TimePoint) { return DiscoverySimulation::Answer{true}; });
       TimePoint started = discovery.now();
       discovery.RunUntil(started + 60s);
       ASSERT_EQ(discovery.calls.size(), 1u);
