--- a/tests/failure_handling_test.cpp
+++ b/tests/failure_handling_test.cpp
@@ -1,4 +1,4 @@
-// What follows a failed attempt: whether it is retried, which budgets it uses, and result the server is
+// What follows a failed attempt: whether it is retried, which budgets it uses, and how the server is
 // treated.
 #include "harness.h"
 
@@ -99,18 +99,18 @@
 TEST(Health, ADeadServerIsEjectedAndLaterGetsATrial) {
   TestRouter router;
   router.UpdateServers(MakeServerList(6));
-  std::string dead = SentTo(router.SendRequest(1, 5));
+  std::string failed_server = SentTo(router.SendRequest(1, 5));
   router.FinishAttempt(1, Result::kNoConn);
   router.FinishAttempt(1, Result::kGood);
   router.SendRequest(2, 5);
   router.FinishAttempt(2, Result::kNoConn);
   router.FinishAttempt(2, Result::kGood);
-  EXPECT_NE(SentTo(router.SendRequest(3, 5)), dead);
+  EXPECT_NE(SentTo(router.SendRequest(3, 5)), failed_server);
   router.FinishAttempt(3, Result::kGood);
   router.now += 3s;
-  EXPECT_EQ(SentTo(router.SendRequest(4, 5)), dead);  // half-open: one real request
+  EXPECT_EQ(SentTo(router.SendRequest(4, 5)), failed_server);  // half-open: one real request
   router.FinishAttempt(4, Result::kGood);
-  EXPECT_EQ(SentTo(router.SendRequest(5, 5)), dead);
+  EXPECT_EQ(SentTo(router.SendRequest(5, 5)), failed_server);
 }
 
 // Client deadlines of 5 ms made each timeout count as a failure of a healthy server until it was ejected; its
--- a/tests/orders/server_replacement_test.cpp
+++ b/tests/orders/server_replacement_test.cpp
@@ -34,7 +34,7 @@
   EXPECT_EQ(SentAtOnce(replaced, 1), SentAtOnce(fresh, 1));
 }
 
-// The new origin latency ten times as long as the fast one before, which is normal for it.
+// The new origin takes ten times as long as the fast one before, which is normal for it.
 TEST(ServerReplacement, ANewOriginIsNotComparedWithTheLatencyOfThePreviousOne) {
   TestRouter router(SettingsWithoutSlowStart());
   router.UpdateServers(MakeServerList(2));
