--- a/src/compat/librarian.cpp
+++ b/src/compat/librarian.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "rations/book.h"
+#include "rations/quota_config.h"
 
 namespace peatbend::compat {
 
@@ -24,17 +24,20 @@
 }
 
 // The book, and whom it retires: all of it or nothing.
-Answer Publish(Catalogue& it, std::uint32_t version, const rations::Table& table, const std::string& by) {
+Answer Publish(Catalogue& it, std::uint32_t version, const rations::QuotaTable& table,
+               const std::string& by) {
   Catalogue next = it;
   Answer answer = Declared(next);
   if (!answer.yes()) return answer;
-  const Version own{"", static_cast<std::uint32_t>(table.reads), table.print};
+  const Version own{"", static_cast<std::uint32_t>(table.language_version), table.fingerprint};
   const auto& versions = next.subjects().at(kSubject).versions;
   if (versions.size() >= version && versions[version - 1] == own) return {};  // whom it retired may be back
-  for (const rations::Retired& one : table.retired)
-    if (answer.yes()) answer = next.Retire(kSubject, one.reader, one.statement, "a book of " + by, one.why);
+  for (const rations::RetiredReader& one : table.retired_readers)
+    if (answer.yes())
+      answer = next.Retire(kSubject, one.reader, one.statement, "a book of " + by, one.reason);
   if (answer.yes())
-    answer = next.Propose(kSubject, version, static_cast<std::uint32_t>(table.reads), table.print);
+    answer = next.Propose(kSubject, version, static_cast<std::uint32_t>(table.language_version),
+                          table.fingerprint);
   if (answer.yes()) it = std::move(next);
   return answer;
 }
@@ -49,8 +52,8 @@
       published_(published),
       calls_(std::move(calls)),
       to_propose_(own),
-      read_(own.table->print),
-      holding_(own.table->print) {
+      read_(own.table->fingerprint),
+      holding_(own.table->fingerprint) {
   Shelve(std::move(own));
 }
 
@@ -70,20 +73,21 @@
 }
 
 const Librarian::Book* Librarian::Find(std::uint64_t print) const {
-  auto at = std::ranges::find_if(shelf_, [print](const Book& one) { return one.table->print == print; });
+  auto at =
+      std::ranges::find_if(shelf_, [print](const Book& one) { return one.table->fingerprint == print; });
   return at == shelf_.end() ? nullptr : &*at;
 }
 
 void Librarian::Shelve(Book book) {
-  std::erase_if(shelf_, [&](const Book& one) { return one.table->print == book.table->print; });
+  std::erase_if(shelf_, [&](const Book& one) { return one.table->fingerprint == book.table->fingerprint; });
   shelf_.push_front(std::move(book));
   if (shelf_.size() <= kShelf) return;
-  auto last = shelf_.back().table->print == holding_ ? shelf_.end() - 2 : shelf_.end() - 1;
+  auto last = shelf_.back().table->fingerprint == holding_ ? shelf_.end() - 2 : shelf_.end() - 1;
   shelf_.erase(last);
 }
 
 void Librarian::Propose(Book book) {
-  std::uint64_t print = book.table->print;
+  std::uint64_t print = book.table->fingerprint;
   // A file that stays as it was read last is no new wish, but where it was refused.
   if (std::exchange(read_, print) == print && refused_print_ != print) return;
   Shelve(book);
@@ -154,7 +158,7 @@
   if (!to_propose_ || proposing_ || published_.news() == 0) return;
   if (reader_ != Reader::kReads && reader_ != Reader::kMayNot) return;
   Book book = *to_propose_;
-  std::uint64_t print = book.table->print;
+  std::uint64_t print = book.table->fingerprint;
   const Subject* of = subject();
   bool last = of != nullptr && !of->versions.empty() && of->versions.back().print == print;
   // A file that was replaced at another router is no wish to go back.
@@ -174,7 +178,7 @@
       [this, version, print](const Answer& answer) {
         proposing_ = false;
         due_ = {};
-        if (to_propose_ && to_propose_->table->print == print) to_propose_.reset();
+        if (to_propose_ && to_propose_->table->fingerprint == print) to_propose_.reset();
         std::string what = fmt::format("book {:016x} as version {}", print, version);
         if (!answer.yes()) return Refuse(what, print, answer);
         refused_.clear();
@@ -247,7 +251,7 @@
     without_ = 0;
     return;
   }
-  if (say.at != coming_.size() || say.bytes.empty() || say.total > rations::kMostBookBytes) return;
+  if (say.at != coming_.size() || say.bytes.empty() || say.total > rations::kMaxQuotaConfigBytes) return;
   coming_ += say.bytes;
   if (coming_.size() >= say.total) return Arrived(now, from);
   Say ask;
@@ -261,7 +265,7 @@
 void Librarian::Arrived(Time now, const std::string& from) {
   std::string text = std::exchange(coming_, {}), why;
   Table table = calls_.read(text, why);
-  if (table != nullptr && table->print == wanted_) {
+  if (table != nullptr && table->fingerprint == wanted_) {
     Shelve({std::move(text), std::move(table)});
     return Hold(now);
   }
--- a/src/compat/librarian.h
+++ b/src/compat/librarian.h
@@ -16,13 +16,13 @@
 #include "compat/published.h"
 #include "compat/wire.h"
 #include "failover/record.h"
-#include "rations/table.h"
+#include "rations/quota_table.h"
 
 namespace peatbend::compat {
 
 class Librarian {
  public:
-  using Table = std::shared_ptr<const rations::Table>;
+  using Table = std::shared_ptr<const rations::QuotaTable>;
   struct Book {
     std::string text;
     Table table;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -15,7 +15,7 @@
 #include "config/file.h"
 #include "config/subjects.h"
 #include "failover/replica_set.h"
-#include "rations/book.h"
+#include "rations/quota_config.h"
 
 namespace peatbend {
 namespace {
@@ -185,13 +185,13 @@
     if (at != std::string::npos) CheckAddress("rations.seats", seat.substr(at + 1));
   }
   CheckSeats("rations.seats", WithoutAddresses(config.rations.seats));
-  auto reads = own.value("reads", std::int64_t{rations::kBookReads});
-  if (reads < 1 || reads > rations::kBookReads)
-    throw ConfigError(fmt::format("rations.reads: 1 to {} expected", rations::kBookReads));
+  auto reads = own.value("reads", std::int64_t{rations::kQuotaLanguageVersion});
+  if (reads < 1 || reads > rations::kQuotaLanguageVersion)
+    throw ConfigError(fmt::format("rations.reads: 1 to {} expected", rations::kQuotaLanguageVersion));
   config.rations.reads = static_cast<int>(reads);
   config.rations.text = ReadWhole(config.rations.book, "rations.book");
-  config.rations.table = std::make_shared<const rations::Table>(
-      rations::ReadBook(config.rations.text, config.settings, config.rations.book, config.rations.reads));
+  config.rations.table = std::make_shared<const rations::QuotaTable>(rations::ParseQuotaConfig(
+      config.rations.text, config.settings, config.rations.book, config.rations.reads));
 }
 
 void ReadPublications(const json& own, Config& config) {
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -14,7 +14,7 @@
 #include "compat/covers.h"
 #include "discovery/server_list.h"
 #include "peatbend/balancer.h"
-#include "rations/table.h"
+#include "rations/quota_table.h"
 
 namespace peatbend {
 
@@ -49,12 +49,12 @@
     std::string no_quorum = "reject";   // or "serve"
     bool operator==(const Failover&) const = default;
   } failover;
-  struct Rations {                                // off where there is no book
-    std::string book;                             // the file's path
-    std::vector<std::string> seats;               // NAME/ZONE
-    int reads = 0;                                // the last version of the language that is taken
-    std::string text;                             // of the file when it was read, and
-    std::shared_ptr<const rations::Table> table;  // what it says
+  struct Rations {                                     // off where there is no book
+    std::string book;                                  // the file's path
+    std::vector<std::string> seats;                    // NAME/ZONE
+    int reads = 0;                                     // the last version of the language that is taken
+    std::string text;                                  // of the file when it was read, and
+    std::shared_ptr<const rations::QuotaTable> table;  // what it says
     bool operator==(const Rations& other) const {
       return book == other.book && seats == other.seats && reads == other.reads;
     }
--- a/src/rations/keeper.cpp
+++ b/src/rations/keeper.cpp
@@ -20,15 +20,16 @@
   std::uint32_t left() const { return level == nullptr ? 0 : entry.want - given; }
 };
 
-Keeper::Keeper(const Table& table, KeeperLimits limits, Time begun, std::int64_t unix_s)
+Keeper::Keeper(const QuotaTable& table, KeeperLimits limits, Time begun, std::int64_t unix_s)
     : table_(table), limits_(limits), now_(begun), unix_s_(unix_s) {
-  fresh_.assign(table.rations.size(), Level_{0, begun});
-  for (std::size_t i = 0; i < table.rations.size(); ++i) paces_.push_back(table.PaceAt(i, unix_s, signs_));
+  fresh_.assign(table.quotas.size(), Level_{0, begun});
+  for (std::size_t i = 0; i < table.quotas.size(); ++i) paces_.push_back(table.RateAt(i, unix_s, signs_));
 }
 
 void Keeper::Fill(std::uint32_t ration, Level_& level) const {
-  const Pace& pace = paces_[ration];
-  level.tokens = std::min(std::max(pace.burst, 1.0), level.tokens + pace.rate * Seconds(now_ - level.at));
+  const TokenRate& pace = paces_[ration];
+  level.tokens =
+      std::min(std::max(pace.burst, 1.0), level.tokens + pace.per_second * Seconds(now_ - level.at));
   level.at = now_;
 }
 
@@ -37,35 +38,35 @@
   if (unix_s == unix_s_ && signs == signs_) return;
   unix_s_ = unix_s;
   signs_ = signs;
-  std::vector<Pace> paces;
-  for (std::size_t i = 0; i < paces_.size(); ++i) paces.push_back(table_.PaceAt(i, unix_s, signs));
+  std::vector<TokenRate> paces;
+  for (std::size_t i = 0; i < paces_.size(); ++i) paces.push_back(table_.RateAt(i, unix_s, signs));
   if (paces == paces_) return;
   // Until now all have filled at the former pace.
   for (std::uint32_t i = 0; i < fresh_.size(); ++i) Fill(i, fresh_[i]);
-  for (auto& [bucket, level] : levels_) Fill(bucket.ration, level);
+  for (auto& [bucket, level] : levels_) Fill(bucket.quota, level);
   paces_ = std::move(paces);
 }
 
-bool Keeper::Known(const Chain& chain) const {
-  if (chain.size == 0 || chain.size > kDeepest) return false;
+bool Keeper::Known(const BucketPath& chain) const {
+  if (chain.size == 0 || chain.size > kMaxQuotaDepth) return false;
   for (std::size_t i = 0; i < chain.size; ++i) {
-    std::uint32_t ration = chain.buckets[i].ration;
-    if (ration >= table_.rations.size()) return false;
-    int above = i + 1 < chain.size ? static_cast<int>(chain.buckets[i + 1].ration) : -1;
-    if (i + 1 < kDeepest && table_.rations[ration].inside != above) return false;
+    std::uint32_t ration = chain.buckets[i].quota;
+    if (ration >= table_.quotas.size()) return false;
+    int above = i + 1 < chain.size ? static_cast<int>(chain.buckets[i + 1].quota) : -1;
+    if (i + 1 < kMaxQuotaDepth && table_.quotas[ration].parent != above) return false;
   }
   return true;
 }
 
 Keeper::Level_& Keeper::Find(const Bucket& bucket) {
-  Level_& fresh = fresh_[bucket.ration];
-  Fill(bucket.ration, fresh);
+  Level_& fresh = fresh_[bucket.quota];
+  Fill(bucket.quota, fresh);
   auto at = levels_.find(bucket);
   if (at == levels_.end()) {
     if (levels_.size() >= limits_.buckets) return fresh;
     at = levels_.emplace(bucket, fresh).first;
   }
-  Fill(bucket.ration, at->second);
+  Fill(bucket.quota, at->second);
   return at->second;
 }
 
@@ -83,7 +84,7 @@
   if (lacks <= 0) return 1;
   // On average half of the others are served before.
   lacks += (line.level->unmet - 1) / 2;
-  double rate = paces_[line.entry.chain.buckets[0].ration].rate;
+  double rate = paces_[line.entry.chain.buckets[0].quota].per_second;
   double wait = rate > 0 ? std::ceil(lacks / rate * 1000) : kLongestWaitMs;
   return static_cast<std::uint32_t>(std::clamp(wait, 1.0, kLongestWaitMs));
 }
@@ -123,9 +124,9 @@
       if (!Known(entry.chain)) continue;
       line.level = &Find(entry.chain.buckets[0]);
       line.level->unmet = 0;
-      bool spare = entry.chain.size > 1 && table_.rations[entry.chain.buckets[0].ration].borrows;
+      bool spare = entry.chain.size > 1 && table_.quotas[entry.chain.buckets[0].quota].borrows;
       for (std::size_t i = 1; spare && i < entry.chain.size; ++i)
-        spare = Find(entry.chain.buckets[i]).tokens > paces_[entry.chain.buckets[i].ration].burst / 2;
+        spare = Find(entry.chain.buckets[i]).tokens > paces_[entry.chain.buckets[i].quota].burst / 2;
       line.lent = spare;
     }
   }
@@ -150,22 +151,22 @@
   for (std::uint32_t i = 0; i < fresh_.size(); ++i) Fill(i, fresh_[i]);
   std::erase_if(levels_, [this](const auto& one) {
     Level_ level = one.second;
-    Fill(one.first.ration, level);
-    return level.tokens >= fresh_[one.first.ration].tokens;
+    Fill(one.first.quota, level);
+    return level.tokens >= fresh_[one.first.quota].tokens;
   });
 }
 
 double Keeper::Level(const Bucket& bucket) const {
   auto at = levels_.find(bucket);
-  Level_ level = at == levels_.end() ? fresh_[bucket.ration] : at->second;
-  Fill(bucket.ration, level);
+  Level_ level = at == levels_.end() ? fresh_[bucket.quota] : at->second;
+  Fill(bucket.quota, level);
   return level.tokens;
 }
 
 std::size_t Keeper::bytes() const {
   constexpr std::size_t kNode = sizeof(std::pair<Bucket, Level_>) + 2 * sizeof(void*);
   return sizeof *this + levels_.size() * kNode + levels_.bucket_count() * sizeof(void*) +
-         fresh_.size() * (sizeof(Level_) + sizeof(Pace));
+         fresh_.size() * (sizeof(Level_) + sizeof(TokenRate));
 }
 
 }  // namespace peatbend::rations
--- a/src/rations/keeper.h
+++ b/src/rations/keeper.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "rations/message.h"
-#include "rations/table.h"
+#include "rations/quota_table.h"
 
 namespace peatbend::rations {
 
@@ -23,7 +23,7 @@
 class Keeper {
  public:
   // `begun`: after Fence::Begin. `table` outlives it.
-  Keeper(const Table& table, KeeperLimits limits, Time begun, std::int64_t unix_s);
+  Keeper(const QuotaTable& table, KeeperLimits limits, Time begun, std::int64_t unix_s);
 
   // From now on; the paces in force follow. `now` never goes back, `unix_s` may.
   void SetTime(Time now, std::int64_t unix_s, unsigned signs);
@@ -50,24 +50,24 @@
   };
   struct Hash {
     std::size_t operator()(const Bucket& bucket) const {
-      return bucket.of ^ (bucket.ration * 0x9e3779b97f4a7c15u);
+      return bucket.key_hash ^ (bucket.quota * 0x9e3779b97f4a7c15u);
     }
   };
   struct Line;  // an entry of a turn
-  bool Known(const Chain& chain) const;
+  bool Known(const BucketPath& chain) const;
   Level_& Find(const Bucket& bucket);
   void Fill(std::uint32_t ration, Level_& level) const;
   std::uint32_t Give(Line& line) const;
   void DealRound(std::vector<Line>& lines) const;
   std::uint32_t WaitMs(const Line& line) const;
 
-  const Table& table_;
+  const QuotaTable& table_;
   KeeperLimits limits_;
   Time now_;
   std::int64_t unix_s_;
-  unsigned signs_ = kNoSign;
-  std::size_t first_ = 0;    // whose turn it is to be the first
-  std::vector<Pace> paces_;  // in force
+  unsigned signs_ = kNoCondition;
+  std::size_t first_ = 0;         // whose turn it is to be the first
+  std::vector<TokenRate> paces_;  // in force
   // By ration: what a new bucket begins with. Those that found no room share it, so it never has more than
   // any of them would.
   std::vector<Level_> fresh_;
--- a/src/rations/kept.cpp
+++ b/src/rations/kept.cpp
@@ -11,9 +11,9 @@
 
 }  // namespace
 
-void Kept::SetTable(const Table& table, KeeperLimits limits, Time now, std::int64_t unix_s) {
+void Kept::SetTable(const QuotaTable& table, KeeperLimits limits, Time now, std::int64_t unix_s) {
   // Those that have waited for the go to begin may be of a former book: its numbers are others here.
-  std::erase_if(gathered_, [&](const auto& one) { return one.second.draw.print != table.print; });
+  std::erase_if(gathered_, [&](const auto& one) { return one.second.draw.print != table.fingerprint; });
   if (table_ != nullptr) {
     gathered_.clear();
     batches_.clear();
--- a/src/rations/kept.h
+++ b/src/rations/kept.h
@@ -21,7 +21,7 @@
       : shard_(shard), asked_at(now), said_at(now), fence(shard, std::move(go), out) {}
 
   // `table` outlives it. After Fence::Begin; or another book, and then all that was of the former is void.
-  void SetTable(const Table& table, KeeperLimits limits, Time now, std::int64_t unix_s);
+  void SetTable(const QuotaTable& table, KeeperLimits limits, Time now, std::int64_t unix_s);
   // Gathers it; one that was answered already is answered alike. One that came before another is nothing.
   std::optional<Message> Draw(Time now, const std::string& from, const Message& draw);
   // Reckons what was gathered, and asks for the confirmation. So many tokens were given.
@@ -58,7 +58,7 @@
   Drawer& Find(Time now, std::uint64_t drawer);
 
   std::uint32_t shard_;
-  const Table* table_ = nullptr;
+  const QuotaTable* table_ = nullptr;
   std::size_t most_drawers_ = 0;
   std::optional<Keeper> keeper_;
   std::map<std::uint64_t, Drawer> drawers_;  // by its process's nonce
--- a/src/rations/message.cpp
+++ b/src/rations/message.cpp
@@ -15,9 +15,9 @@
 
 }  // namespace
 
-std::uint32_t ShardOf(const Chain& chain) {
+std::uint32_t ShardOf(const BucketPath& chain) {
   if (chain.size == 0) return 0;
-  const std::uint64_t root[] = {chain.root().ration, chain.root().of};
+  const std::uint64_t root[] = {chain.root().quota, chain.root().key_hash};
   return static_cast<std::uint32_t>(XXH3_64bits(root, sizeof root) % kShards);
 }
 
@@ -47,8 +47,8 @@
   for (const Entry& entry : m.entries) {
     Put(into, std::uint64_t{entry.chain.size});
     for (std::size_t i = 0; i < entry.chain.size; ++i) {
-      Put(into, std::uint64_t{entry.chain.buckets[i].ration});
-      Put(into, entry.chain.buckets[i].of);
+      Put(into, std::uint64_t{entry.chain.buckets[i].quota});
+      Put(into, entry.chain.buckets[i].key_hash);
     }
     for (std::uint64_t each : {entry.want, entry.wait_ms}) Put(into, each);
   }
@@ -63,7 +63,7 @@
   for (const Entry& entry : m.entries) {
     text += " [";
     for (std::size_t i = 0; i < entry.chain.size; ++i)
-      text += fmt::format("{}:{:x} ", entry.chain.buckets[i].ration, entry.chain.buckets[i].of);
+      text += fmt::format("{}:{:x} ", entry.chain.buckets[i].quota, entry.chain.buckets[i].key_hash);
     text += fmt::format("{}, wait {} ms]", entry.want, entry.wait_ms);
   }
   return text;
--- a/src/rations/message.h
+++ b/src/rations/message.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "rations/table.h"
+#include "rations/quota_table.h"
 
 namespace peatbend::rations {
 
@@ -19,7 +19,7 @@
 // time. Each costs messages of its own, and has one draw of a router out at a time.
 constexpr std::uint32_t kShards = 4;
 constexpr std::size_t kSeats = 3, kMajority = 2;
-std::uint32_t ShardOf(const Chain& chain);
+std::uint32_t ShardOf(const BucketPath& chain);
 
 // One process's one go at keeping a shard. No two goes have the same, in any life of any process.
 struct Go {
@@ -42,7 +42,7 @@
 };
 
 struct Entry {
-  Chain chain;
+  BucketPath chain;
   std::uint32_t want = 0;     // draw: tokens wanted. grant: tokens given
   std::uint32_t wait_ms = 0;  // grant: when there may be more
   bool operator==(const Entry&) const = default;
--- a/src/rations/office.cpp
+++ b/src/rations/office.cpp
@@ -21,7 +21,7 @@
 }  // namespace
 
 Office::Office(OfficeOptions options, failover::ReplicaSet seats, std::string self, std::uint64_t nonce,
-               std::uint64_t random, std::shared_ptr<const Table> table, Time now,
+               std::uint64_t random, std::shared_ptr<const QuotaTable> table, Time now,
                std::function<bool(const std::string&)> present)
     : options_(options),
       seats_(std::move(seats)),
@@ -47,7 +47,7 @@
   }
 }
 
-void Office::SetTable(Time now, std::shared_ptr<const Table> table) {
+void Office::SetTable(Time now, std::shared_ptr<const QuotaTable> table) {
   purse_ = std::make_unique<Purse>(*table, options_.purse, nonce_, random_(), now, purse_->lastNumber());
   for (Place& place : places_) {
     if (place.kept && place.kept->keeping()) place.kept->SetTable(*table, options_.keeper, now, unix_s_);
@@ -98,7 +98,7 @@
   }
 }
 
-Verdict Office::Take(Time now, const Asked& asked) { return purse_->Take(now, asked); }
+Verdict Office::Take(Time now, const RequestAttributes& asked) { return purse_->Take(now, asked); }
 
 void Office::Take(Time now, const std::string& from, const Message& message) {
   Hear(now, from, message);
@@ -136,7 +136,7 @@
       place.unanswered = place.led_on = 0;
       return;
     case MessageKind::kElsewhere:
-      if (message.number != place.last_draw || message.print != table_->print) return;
+      if (message.number != place.last_draw || message.print != table_->fingerprint) return;
       if (std::ranges::find(place.seats, message.met.router) == place.seats.end()) return;
       // While it is asked of all, another name is no news.
       if (place.unanswered >= kSilent || place.led_on++ >= kLedOn) return;
@@ -152,7 +152,7 @@
   answer.shard = draw.shard;
   answer.number = draw.number;
   answer.drawer = draw.drawer;
-  answer.print = table_->print;
+  answer.print = table_->fingerprint;
   answer.met.router = KeeperElsewhere(place);
   ++figures_.elsewhere;
   Say(to, std::move(answer));
@@ -186,7 +186,7 @@
 // ---- Keeping ----------------------------------------------------------------------------------------------
 
 void Office::Drawn(Time now, Place& place, const std::string& from, const Message& draw) {
-  if (draw.print != table_->print) {
+  if (draw.print != table_->fingerprint) {
     ++figures_.other_book;
     return Elsewhere(place, from, draw);
   }
--- a/src/rations/office.h
+++ b/src/rations/office.h
@@ -38,19 +38,19 @@
   // before. `present`: whether that router is there, as far as is known; only says whom to ask and when to
   // try.
   Office(OfficeOptions options, failover::ReplicaSet seats, std::string self, std::uint64_t nonce,
-         std::uint64_t random, std::shared_ptr<const Table> table, Time now,
+         std::uint64_t random, std::shared_ptr<const QuotaTable> table, Time now,
          std::function<bool(const std::string&)> present);
 
   // Another book: what is in hand and kept of the former is void.
-  void SetTable(Time now, std::shared_ptr<const Table> table);
-  Verdict Take(Time now, const Asked& asked);
+  void SetTable(Time now, std::shared_ptr<const QuotaTable> table);
+  Verdict Take(Time now, const RequestAttributes& asked);
   void Take(Time now, const std::string& from, const Message& message);
   // `unix_s`, `signs`: for the paces of the shards that are kept here.
   void Tick(Time now, std::int64_t unix_s, unsigned signs);
   std::optional<Time> Due() const;
   std::vector<Out> TakeOut() { return std::exchange(out_, {}); }
 
-  const Table& table() const { return *table_; }
+  const QuotaTable& table() const { return *table_; }
   struct Figures {
     std::uint64_t goes = 0, begun = 0, lost = 0, grants = 0, tokens = 0, other_book = 0, elsewhere = 0;
   };
@@ -117,13 +117,13 @@
   std::minstd_rand random_;
   std::function<bool(const std::string&)> present_;
   std::vector<Out> out_, local_;
-  std::shared_ptr<const Table> table_;
+  std::shared_ptr<const QuotaTable> table_;
   std::unique_ptr<Purse> purse_;
   std::string confirms_;  // the other seat that has confirmed last
   std::vector<Place> places_;
   std::uint64_t goes_ = 0;
   std::int64_t unix_s_ = 0;
-  unsigned signs_ = kNoSign;
+  unsigned signs_ = kNoCondition;
   Time forget_at_;
   Time turned_ = Time::min() / 2;  // when draws were reckoned last, of any shard
   Figures figures_;
--- a/src/rations/purse.cpp
+++ b/src/rations/purse.cpp
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-Purse::Purse(const Table& table, Options options, std::uint64_t nonce, std::uint64_t random, Time,
+Purse::Purse(const QuotaTable& table, Options options, std::uint64_t nonce, std::uint64_t random, Time,
              std::uint64_t last)
     : table_(table),
       options_(options),
@@ -30,10 +30,10 @@
       last_(last),
       random_(static_cast<std::minstd_rand::result_type>(random ^ random >> 32)),
       shortest_s_(std::min(kShortestS, 2 * Seconds(options.draw_every))),
-      eases_(table.rations.size(), Ease{shortest_s_}),
+      eases_(table.quotas.size(), Ease{shortest_s_}),
       shards_(kShards) {
-  for (std::size_t i = 0; i < table.rations.size(); ++i)
-    most_.push_back(static_cast<std::uint32_t>(std::min(AheadOf(table.Most(i)), 1e9)));
+  for (std::size_t i = 0; i < table.quotas.size(); ++i)
+    most_.push_back(static_cast<std::uint32_t>(std::min(CreditLimit(table.MaxRate(i)), 1e9)));
 }
 
 Span Purse::Spread(Span span) {
@@ -44,13 +44,13 @@
 
 // ---- Accounts ---------------------------------------------------------------------------------------------
 
-Purse::Account* Purse::Find(Time now, const Chain& chain) {
+Purse::Account* Purse::Find(Time now, const BucketPath& chain) {
   Slot at = SlotOf(chain.buckets[0]);
   return at != Slots::kNone ? &all_[at] : Make(now, chain);
 }
 
 // Of the chain's buckets those that are not there, from the outermost on. Null: there is no room.
-Purse::Account* Purse::Make(Time now, const Chain& chain) {
+Purse::Account* Purse::Make(Time now, const BucketPath& chain) {
   std::uint32_t shard = ShardOf(chain);
   Account* above = nullptr;
   for (std::size_t i = chain.size; i-- > 0;) {
@@ -69,7 +69,7 @@
     account.bucket = chain.buckets[i];
     account.slot = *slot;
     account.above = above;
-    account.most = most_[account.bucket.ration];
+    account.most = most_[account.bucket.quota];
     account.shard = static_cast<std::uint8_t>(shard);
     account.wanted_at = now;
     at_.Insert(HashOf(account.bucket), *slot);
@@ -112,13 +112,13 @@
 // demand of late. The first of a shard waits for nobody.
 Span Purse::Slack(const Account& account) const {
   if (!shards_[account.shard].met) return Span{};
-  return FromSeconds(eases_[account.bucket.ration].wait_s /
+  return FromSeconds(eases_[account.bucket.quota].wait_s /
                      std::max(1.0, static_cast<double>(account.wanted) - 1));
 }
 
 // A debt was paid: `whole`, or there was not so much.
 void Purse::Learn(const Account& account, bool whole) {
-  Ease& ease = eases_[account.bucket.ration];
+  Ease& ease = eases_[account.bucket.quota];
   bool less = !whole || account.hindered;
   ease.hindered = ease.hindered || less;
   ease.wait_s *= less ? kLess : ease.hindered ? kLonger : kAtFirst;
@@ -134,13 +134,13 @@
 
 // ---- A request --------------------------------------------------------------------------------------------
 
-Verdict Purse::Take(Time now, const Asked& asked) {
+Verdict Purse::Take(Time now, const RequestAttributes& asked) {
   Verdict verdict;
-  Chain chain = table_.ChainOf(asked);
+  BucketPath chain = table_.BucketPathOf(asked);
   if (chain.size == 0) return verdict;
   verdict.counted = true;
-  verdict.ration = chain.buckets[0].ration;
-  verdict.over = table_.rations[verdict.ration].over;
+  verdict.ration = chain.buckets[0].quota;
+  verdict.over = table_.quotas[verdict.ration].over_limit;
   Account* leaf = Find(now, chain);
   if (leaf == nullptr) {
     verdict.within = false;
@@ -179,15 +179,15 @@
   if (!alone(now, leaf.shard)) return false;
   Time since = shards_[leaf.shard].since + options_.alone_after;
   for (Account* one = &leaf; one != nullptr; one = one->above) {
-    const Ration& ration = table_.rations[one->bucket.ration];
-    if (ration.hard || ration.alone == rations::Alone::kReject) return false;
-    if (ration.alone == rations::Alone::kOpen) continue;
+    const Quota& ration = table_.quotas[one->bucket.quota];
+    if (ration.hard || ration.when_unreachable == rations::WhenUnreachable::kReject) return false;
+    if (ration.when_unreachable == rations::WhenUnreachable::kAdmit) continue;
     if (one->own_at < since) {
       one->own = 0;
       one->own_at = since;
     }
     double routers = std::max(options_.routers, 1);
-    double burst = std::max(1.0, ration.pace.burst / routers), rate = ration.pace.rate / routers;
+    double burst = std::max(1.0, ration.rate.burst / routers), rate = ration.rate.per_second / routers;
     one->own = std::min(burst, one->own + rate * Seconds(now - one->own_at));
     one->own_at = now;
     if (one->own >= 1) continue;
@@ -195,7 +195,8 @@
     return false;
   }
   for (Account* one = &leaf; one != nullptr; one = one->above) {
-    if (table_.rations[one->bucket.ration].alone == rations::Alone::kOwnShare) one->own -= 1;
+    if (table_.quotas[one->bucket.quota].when_unreachable == rations::WhenUnreachable::kOwnShare)
+      one->own -= 1;
   }
   ++figures_.alone;
   return verdict.within = true;
@@ -244,7 +245,7 @@
   draw.entries.reserve(std::min(listed.size(), kDrawn));
   for (Slot slot : listed) {
     Account& account = all_[slot];
-    if (drawn + kDeepest > kDrawn || account.not_before > now) {
+    if (drawn + kMaxQuotaDepth > kDrawn || account.not_before > now) {
       shard.listed.push_back(slot);
       shard.due = std::min(shard.due, std::max(now, account.not_before));
       continue;
@@ -264,7 +265,7 @@
   draw.shard = number;
   draw.number = ++last_;
   draw.drawer = nonce_;
-  draw.print = table_.print;
+  draw.print = table_.fingerprint;
   shard.sent = shard.since = now;
   shard.out = draw;
   ++figures_.draws;
@@ -275,7 +276,7 @@
   if (grant.shard >= kShards) return false;
   Shard& shard = shards_[grant.shard];
   bool ours = grant.kind == MessageKind::kGrant && shard.out && grant.number == shard.out->number &&
-              grant.drawer == nonce_ && grant.print == table_.print &&
+              grant.drawer == nonce_ && grant.print == table_.fingerprint &&
               grant.entries.size() == shard.out->entries.size();
   for (std::size_t i = 0; ours && i < grant.entries.size(); ++i)
     ours = grant.entries[i].chain == shard.out->entries[i].chain;
@@ -318,9 +319,9 @@
 // Who got less than it owed asks again when a good part of what it may owe can have been filled; who shares
 // it with many, and got one in `part`, later.
 Span Purse::Pause(const Account& account, std::uint32_t part) const {
-  Pace most = table_.Most(account.bucket.ration);
-  if (most.rate <= 0) return kMostPause;
-  Span pause = std::min(kMostPause, FromSeconds(0.4 * std::min(account.most / most.rate, 1.0)));
+  TokenRate most = table_.MaxRate(account.bucket.quota);
+  if (most.per_second <= 0) return kMostPause;
+  Span pause = std::min(kMostPause, FromSeconds(0.4 * std::min(account.most / most.per_second, 1.0)));
   return pause * std::clamp<std::uint32_t>(part / 7, 1, 3);
 }
 
@@ -337,7 +338,7 @@
 void Purse::Put(std::string& into) const {
   rations::Put(into, last_);
   for (const Account& one : all_) {
-    for (std::uint64_t each : {std::uint64_t{one.bucket.ration}, one.bucket.of, std::uint64_t{one.owed},
+    for (std::uint64_t each : {std::uint64_t{one.bucket.quota}, one.bucket.key_hash, std::uint64_t{one.owed},
                                std::uint64_t{one.hindered} * 4 + std::uint64_t{one.listed} * 2 + one.out})
       rations::Put(into, each);
   }
--- a/src/rations/purse.h
+++ b/src/rations/purse.h
@@ -1,7 +1,7 @@
 // What one router owes to the keepers. A request within its rations goes through at once, on account; the
 // tokens for it are drawn afterwards, and no more than were owed. What is owed in a bucket never passes
-// AheadOf, so no request waits for anybody, nothing lies in a hand that does not use it, and all routers
-// together admit at most what was released and AheadOf of each process. A debt is forgotten only with the
+// CreditLimit, so no request waits for anybody, nothing lies in a hand that does not use it, and all routers
+// together admit at most what was released and CreditLimit of each process. A debt is forgotten only with the
 // process: a bucket without one may be dropped, and where there is no room for another there is no credit.
 // Free of I/O and clocks; one owner, one thread.
 #pragma once
@@ -16,16 +16,16 @@
 #include <vector>
 
 #include "rations/message.h"
+#include "rations/quota_table.h"
 #include "rations/slots.h"
-#include "rations/table.h"
 
 namespace peatbend::rations {
 
 struct Verdict {
-  bool within = true;            // no ration counts it, or it went on account
-  bool counted = false;          // a ration counts it
-  Over over = Over::kCountOnly;  // not within: what its ration says of it
-  Span come_back{};              // not within: when to ask again, spread over requests
+  bool within = true;                                  // no ration counts it, or it went on account
+  bool counted = false;                                // a ration counts it
+  OverLimitAction over = OverLimitAction::kCountOnly;  // not within: what its ration says of it
+  Span come_back{};                                    // not within: when to ask again, spread over requests
   std::uint32_t ration = 0;
 };
 
@@ -42,11 +42,11 @@
   };
   // `table` outlives it. `nonce`: of the process. `random`: a seed, for spreading. `last`: of the former
   // purse of this process, lastNumber(): no number is used twice under one nonce.
-  Purse(const Table& table, Options options, std::uint64_t nonce, std::uint64_t random, Time now,
+  Purse(const QuotaTable& table, Options options, std::uint64_t nonce, std::uint64_t random, Time now,
         std::uint64_t last = 0);
 
   // Under a microsecond; allocates only for a bucket that is new here.
-  Verdict Take(Time now, const Asked& asked);
+  Verdict Take(Time now, const RequestAttributes& asked);
   // What is to be asked of the keepers now: draws that are due, and those to be said again. The caller knows
   // who keeps a shard, and fills in the receiver.
   void Due(Time now, std::vector<Message>& draws);
@@ -98,13 +98,13 @@
   };
 
   static std::uint64_t HashOf(const Bucket& bucket) {
-    return (bucket.of ^ bucket.ration) * 0x9e3779b97f4a7c15u >> 32;
+    return (bucket.key_hash ^ bucket.quota) * 0x9e3779b97f4a7c15u >> 32;
   }
   Slot SlotOf(const Bucket& bucket) const {
     return at_.Find(HashOf(bucket), [&](Slot slot) { return all_[slot].bucket == bucket; });
   }
-  Account* Find(Time now, const Chain& chain);
-  Account* Make(Time now, const Chain& chain);
+  Account* Find(Time now, const BucketPath& chain);
+  Account* Make(Time now, const BucketPath& chain);
   std::optional<Slot> Room();
   bool Presses(const Account& account) const;
   Span Slack(const Account& account) const;
@@ -119,7 +119,7 @@
   bool Alone(Time now, Account& leaf, Verdict& verdict);
   Span Spread(Span span);
 
-  const Table& table_;
+  const QuotaTable& table_;
   Options options_;
   std::uint64_t nonce_, last_;
   std::minstd_rand random_;
--- a/src/rations/book.cpp
+++ b/src/rations/quota_config.cpp
@@ -1,6 +1,6 @@
 // From statements to a table: names resolved, what is not said taken from the ration around, days counted
 // out.
-#include "rations/book.h"
+#include "rations/quota_config.h"
 
 #include <fmt/format.h>
 
@@ -8,10 +8,10 @@
 #include <optional>
 #include <unordered_map>
 
-#include "rations/book_changes.h"
-#include "rations/book_checks.h"
-#include "rations/book_names.h"
-#include "rations/book_times.h"
+#include "rations/quota_config_checks.h"
+#include "rations/quota_config_names.h"
+#include "rations/quota_config_overrides.h"
+#include "rations/quota_config_times.h"
 
 namespace peatbend::rations {
 namespace book {
@@ -29,17 +29,17 @@
         tenants_("franchisee", settings.tenants),
         changes_(book.zone, faults) {}
 
-  Table Compile() {
+  QuotaTable Compile() {
     for (std::size_t i = 0; i < book_.rations.size(); ++i) stated_.try_emplace(book_.rations[i].name.text, i);
     for (std::size_t i = 0; i < book_.rations.size(); ++i) {
-      table_.rations.emplace_back();
+      table_.quotas.emplace_back();
       places_.emplace_back();
       std::size_t before = faults_.found;
       CompileRation(i);
       whole_.push_back(faults_.found == before);
     }
     CheckTable(table_, places_, whole_, settings_, faults_);
-    table_.reads = book_.reads;
+    table_.language_version = book_.reads;
     for (const RetiredText& one : book_.retired) Retire(one);
     return std::move(table_);
   }
@@ -47,7 +47,7 @@
  private:
   void CompileRation(std::size_t i) {
     const RationText& text = book_.rations[i];
-    Ration& ration = table_.rations[i];
+    Quota& ration = table_.quotas[i];
     RationPlaces& places = places_[i];
     ration.name = text.name.text;
     places.name = text.name.at;
@@ -67,17 +67,17 @@
     if (need(said.counts, "counts")) Count(*said.counts, ration);
     if (need(said.rate, "rate")) {
       places.pace.rate = said.rate->rate.at;
-      ration.pace.rate = changes_.Rate(said.rate->rate);
+      ration.rate.per_second = changes_.Rate(said.rate->rate);
     }
     if (need(said.burst, "burst")) {
       places.pace.burst = said.burst->burst.at;
-      ration.pace.burst = changes_.Burst(said.burst->burst);
+      ration.rate.burst = changes_.Burst(said.burst->burst);
     }
     if (said.hardness != nullptr && said.hardness->says == Says::kSoft) {
       ration.hard = false;
-      ration.alone = said.hardness->alone;
+      ration.when_unreachable = said.hardness->alone;
     }
-    if (said.over != nullptr) ration.over = said.over->over;
+    if (said.over != nullptr) ration.over_limit = said.over->over;
     ration.borrows = said.borrows != nullptr;
     if (ration.borrows && !text.inside) {
       faults_.Add(said.borrows->at,
@@ -91,15 +91,15 @@
 
   void Retire(const RetiredText& one) {
     auto fits = [&](const Word& word, const char* what) {
-      if (!word.text.empty() && word.text.size() <= kMostRetiredText) return;
-      faults_.Add(word.at, fmt::format("{} of 1 to {} bytes expected", what, kMostRetiredText));
+      if (!word.text.empty() && word.text.size() <= kMaxRetiredTextBytes) return;
+      faults_.Add(word.at, fmt::format("{} of 1 to {} bytes expected", what, kMaxRetiredTextBytes));
     };
     fits(one.reader, "the name of a reader");
     fits(one.why, "a reason");
-    auto same = [&](const Retired& other) { return other.reader == one.reader.text; };
-    if (std::ranges::any_of(table_.retired, same))
+    auto same = [&](const RetiredReader& other) { return other.reader == one.reader.text; };
+    if (std::ranges::any_of(table_.retired_readers, same))
       faults_.Add(one.reader.at, fmt::format("reader '{}' is retired above; once expected", one.reader.text));
-    table_.retired.push_back({one.reader.text, one.statement, one.why.text});
+    table_.retired_readers.push_back({one.reader.text, one.statement, one.why.text});
   }
 
   // A ration's statements other than changes; null: not said.
@@ -138,44 +138,44 @@
   }
 
   void PutInside(std::size_t i, const Word& inside) {
-    Ration& ration = table_.rations[i];
+    Quota& ration = table_.quotas[i];
     auto at = stated_.find(inside.text);
     if (inside.text == ration.name) {
       faults_.Add(inside.at,
                   fmt::format("'{}' cannot be inside itself; a ration stated above expected", inside.text));
     } else if (at == stated_.end()) {
       std::vector<std::string> above;
-      for (std::size_t n = 0; n < i; ++n) above.push_back(table_.rations[n].name);
+      for (std::size_t n = 0; n < i; ++n) above.push_back(table_.quotas[n].name);
       faults_.Add(inside.at, UnknownName("ration", inside.text, above));
     } else if (at->second > i) {
       faults_.Add(inside.at,
                   fmt::format("ration '{}' is stated later, at line {}; a ration stated above expected",
                               inside.text, book_.rations[at->second].name.at.line));
     } else {
-      ration.inside = static_cast<int>(at->second);
-      const Ration& around = table_.rations[at->second];
+      ration.parent = static_cast<int>(at->second);
+      const Quota& around = table_.quotas[at->second];
       std::size_t depth = 1;
-      for (int n = ration.inside; n >= 0; n = table_.rations[n].inside) ++depth;
-      if (depth > kDeepest) {
+      for (int n = ration.parent; n >= 0; n = table_.quotas[n].parent) ++depth;
+      if (depth > kMaxQuotaDepth) {
         faults_.Add(inside.at,
                     fmt::format("'{}' would be {} deep; at most {} rations inside each other expected",
-                                ration.name, depth, kDeepest));
-        ration.inside = -1;
+                                ration.name, depth, kMaxQuotaDepth));
+        ration.parent = -1;
         return;
       }
       ration.tenants = around.tenants;
       ration.classes = around.classes;
-      ration.kind = around.kind;
-      ration.turn = around.turn;
-      ration.per = around.per;
-      ration.key_group = around.key_group;
+      ration.access = around.access;
+      ration.try_kind = around.try_kind;
+      ration.bucket_key = around.bucket_key;
+      ration.key_prefix_length = around.key_prefix_length;
     }
   }
 
   // What the statement counts must be counted by the ration around too, whose own words `ration` has so far.
-  void Count(const Statement& statement, Ration& ration) {
+  void Count(const Statement& statement, Quota& ration) {
     const Counted* met[6] = {};  // everything, kind, turn, classes, tenants, and each of what
-    unsigned each = kTogether;
+    unsigned each = kSingleBucket;
     for (const Counted& counted : statement.counted) {
       static constexpr int kSlots[] = {0, 1, 1, 2, 2, 3, 4, 5, 5, 5, 5};
       int slot = kSlots[static_cast<int>(counted.item)];
@@ -199,7 +199,7 @@
       }
       if (met[slot] == nullptr) met[slot] = &counted;
     }
-    ration.per |= each;
+    ration.bucket_key |= each;
   }
 
   static std::string Never(int slot, bool same) {
@@ -214,25 +214,25 @@
     return "this stands here already; once expected";
   }
 
-  void Narrow(const Counted& counted, Ration& ration) {
+  void Narrow(const Counted& counted, Quota& ration) {
     auto beyond = [&](const std::string& what) {
       faults_.Add(
           counted.at,
           fmt::format("'{}', which '{}' is inside of, does not count {}; part of what it counts expected",
-                      table_.rations[ration.inside].name, ration.name, what));
+                      table_.quotas[ration.parent].name, ration.name, what));
     };
     switch (counted.item) {
       case Item::kReads:
-        ration.kind == Kind::kWrites ? beyond("reads") : void(ration.kind = Kind::kReads);
+        ration.access == AccessKind::kWrites ? beyond("reads") : void(ration.access = AccessKind::kReads);
         break;
       case Item::kWrites:
-        ration.kind == Kind::kReads ? beyond("writes") : void(ration.kind = Kind::kWrites);
+        ration.access == AccessKind::kReads ? beyond("writes") : void(ration.access = AccessKind::kWrites);
         break;
       case Item::kFirsts:
-        ration.turn == Turn::kRepeats ? beyond("firsts") : void(ration.turn = Turn::kFirsts);
+        ration.try_kind == TryKind::kRetry ? beyond("firsts") : void(ration.try_kind = TryKind::kFirst);
         break;
       case Item::kRepeats:
-        ration.turn == Turn::kFirsts ? beyond("repeats") : void(ration.turn = Turn::kRepeats);
+        ration.try_kind == TryKind::kFirst ? beyond("repeats") : void(ration.try_kind = TryKind::kRetry);
         break;
       case Item::kClasses:
       case Item::kTenants: {
@@ -255,20 +255,20 @@
     }
   }
 
-  void SetKeyGroup(const Counted& counted, Ration& ration) {
+  void SetKeyGroup(const Counted& counted, Quota& ration) {
     double n = counted.characters.value;
     if (n < 1 || n > kMostCharacters || n != static_cast<int>(n)) {
       faults_.Add(counted.characters.at,
                   fmt::format("a whole number of characters from 1 to {} expected", kMostCharacters));
-    } else if (n < ration.key_group) {
+    } else if (n < ration.key_prefix_length) {
       faults_.Add(
           counted.characters.at,
           fmt::format(
               "'{}', which '{}' is inside of, has a bucket for each group of {} characters; at least as "
               "many expected",
-              table_.rations[ration.inside].name, ration.name, ration.key_group));
+              table_.quotas[ration.parent].name, ration.name, ration.key_prefix_length));
     } else {
-      ration.key_group = static_cast<int>(n);
+      ration.key_prefix_length = static_cast<int>(n);
     }
   }
 
@@ -278,7 +278,7 @@
   Names classes_, tenants_;
   ChangeReader changes_;
   std::unordered_map<std::string, std::size_t> stated_;
-  Table table_;
+  QuotaTable table_;
   std::vector<RationPlaces> places_;
   std::vector<bool> whole_;
 };
@@ -288,45 +288,48 @@
 
 namespace {
 
-std::string Joined(const std::string& file, const std::vector<BookError>& errors) {
+std::string Joined(const std::string& file, const std::vector<QuotaConfigError>& errors) {
   std::string text;
-  for (const BookError& error : errors) {
-    text +=
-        fmt::format("{}{}:{}:{}: {}", text.empty() ? "" : "\n", file, error.line, error.column, error.what);
+  for (const QuotaConfigError& error : errors) {
+    text += fmt::format("{}{}:{}:{}: {}", text.empty() ? "" : "\n", file, error.line, error.column,
+                        error.message);
   }
   return text;
 }
 
 }  // namespace
 
-BookRefused::BookRefused(const std::string& file, std::vector<BookError> errors)
+InvalidQuotaConfig::InvalidQuotaConfig(const std::string& file, std::vector<QuotaConfigError> errors)
     : std::runtime_error(Joined(file, errors)), errors_(std::move(errors)) {}
 
-Table ReadBook(std::string_view text, const Settings& settings, const std::string& file, int reads) {
+QuotaTable ParseQuotaConfig(std::string_view text, const Settings& settings, const std::string& file,
+                            int reads) {
   book::Faults faults;
   auto check = [&] {
     if (faults.list.empty()) return;
-    std::stable_sort(faults.list.begin(), faults.list.end(), [](const BookError& a, const BookError& b) {
-      return std::pair(a.line, a.column) < std::pair(b.line, b.column);
-    });
-    throw BookRefused(file, std::move(faults.list));
+    std::stable_sort(faults.list.begin(), faults.list.end(),
+                     [](const QuotaConfigError& a, const QuotaConfigError& b) {
+                       return std::pair(a.line, a.column) < std::pair(b.line, b.column);
+                     });
+    throw InvalidQuotaConfig(file, std::move(faults.list));
   };
-  if (text.size() > kMostBookBytes) {
-    faults.Add({}, fmt::format("the book has {} bytes; at most {} expected", text.size(), kMostBookBytes));
+  if (text.size() > kMaxQuotaConfigBytes) {
+    faults.Add({},
+               fmt::format("the book has {} bytes; at most {} expected", text.size(), kMaxQuotaConfigBytes));
     check();
   }
   book::BookText written = book::ParseBook(text, faults, reads);
   check();
-  Table table = book::Compiler(written, settings, faults).Compile();
+  QuotaTable table = book::Compiler(written, settings, faults).Compile();
   check();
-  std::string canonical = PrintBook(table, settings);
-  if (canonical.size() > kMostBookBytes) {
+  std::string canonical = FormatQuotaConfig(table, settings);
+  if (canonical.size() > kMaxQuotaConfigBytes) {
     faults.Add({}, fmt::format("the book's canonical form, with daily hours counted by the day, has {} "
                                "bytes; at most {} expected",
-                               canonical.size(), kMostBookBytes));
+                               canonical.size(), kMaxQuotaConfigBytes));
     check();
   }
-  table.print = book::BookPrint(table, settings, canonical);
+  table.fingerprint = book::FingerprintOf(table, settings, canonical);
   return table;
 }
 
--- a/src/rations/book_text.h
+++ b/src/rations/quota_config_ast.h
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "rations/book.h"
+#include "rations/quota_config.h"
 
 namespace peatbend::rations::book {
 
@@ -73,9 +73,9 @@
   Amount rate, burst;       // rate: tokens a second
   std::vector<Day> days;    // kPeriod: from, to; kUntil: to; kDaily: the first and the last
   std::vector<Hour> hours;  // the same
-  unsigned signs = kNoSign;
-  Alone alone{};
-  Over over{};
+  unsigned signs = kNoCondition;
+  WhenUnreachable alone{};
+  OverLimitAction over{};
 };
 
 struct RationText {
@@ -99,12 +99,12 @@
 // What is found wrong, kMostBookErrors at the most.
 class Faults {
  public:
-  bool full() const { return list.size() >= kMostBookErrors; }
+  bool full() const { return list.size() >= kMaxQuotaConfigErrors; }
   void Add(Place at, std::string what) {
     ++found;
     if (!full()) list.push_back({at.line, at.column, std::move(what)});
   }
-  std::vector<BookError> list;
+  std::vector<QuotaConfigError> list;
   std::size_t found = 0;  // with those that are not in the list
 };
 
@@ -112,6 +112,6 @@
 BookText ParseBook(std::string_view text, Faults& faults, int reads);
 
 // Table::print of a table with that canonical form; never 0.
-std::uint64_t BookPrint(const Table& table, const Settings& settings, const std::string& canonical);
+std::uint64_t FingerprintOf(const QuotaTable& table, const Settings& settings, const std::string& canonical);
 
 }  // namespace peatbend::rations::book
--- a/src/rations/book_checks.cpp
+++ b/src/rations/quota_config_checks.cpp
@@ -1,4 +1,4 @@
-#include "rations/book_checks.h"
+#include "rations/quota_config_checks.h"
 
 #include <fmt/format.h>
 
@@ -7,7 +7,7 @@
 #include <map>
 #include <numeric>
 
-#include "rations/book_times.h"
+#include "rations/quota_config_times.h"
 
 namespace peatbend::rations::book {
 namespace {
@@ -24,13 +24,13 @@
 }
 
 // A request that both count, in words; empty if there is none.
-std::string Both(const Ration& a, const Ration& b, const Settings& settings) {
-  if (a.kind != Kind::kAny && b.kind != Kind::kAny && a.kind != b.kind) return "";
-  if (a.turn != Turn::kAny && b.turn != Turn::kAny && a.turn != b.turn) return "";
+std::string Both(const Quota& a, const Quota& b, const Settings& settings) {
+  if (a.access != AccessKind::kAny && b.access != AccessKind::kAny && a.access != b.access) return "";
+  if (a.try_kind != TryKind::kAny && b.try_kind != TryKind::kAny && a.try_kind != b.try_kind) return "";
   int cls = Shared(a.classes, b.classes), tenant = Shared(a.tenants, b.tenants);
   if (cls == -1 || tenant == -1) return "";
-  bool write = a.kind == Kind::kWrites || b.kind == Kind::kWrites;
-  bool repeat = a.turn == Turn::kRepeats || b.turn == Turn::kRepeats;
+  bool write = a.access == AccessKind::kWrites || b.access == AccessKind::kWrites;
+  bool repeat = a.try_kind == TryKind::kRetry || b.try_kind == TryKind::kRetry;
   std::string text = fmt::format("a {} {}", repeat ? "repeated" : "first", write ? "write" : "read");
   text += cls >= 0 ? fmt::format(" of class '{}'", settings.classes[cls].name) : " of any class";
   return text + (tenant >= 0 ? fmt::format(" of franchisee '{}'", settings.tenants[tenant].name)
@@ -39,24 +39,24 @@
 
 class Checker {
  public:
-  Checker(const Table& table, const std::vector<RationPlaces>& places, const std::vector<bool>& whole,
+  Checker(const QuotaTable& table, const std::vector<RationPlaces>& places, const std::vector<bool>& whole,
           const Settings& settings, Faults& faults)
-      : rations_(table.rations), places_(places), whole_(whole), settings_(settings), faults_(faults) {}
+      : rations_(table.quotas), places_(places), whole_(whole), settings_(settings), faults_(faults) {}
 
   void Check() {
     for (std::size_t i = 0; i < rations_.size(); ++i) {
-      const Ration& r = rations_[i];
+      const Quota& r = rations_[i];
       double inf = std::numeric_limits<double>::infinity();
-      Pace none{inf, inf};
-      above_.push_back(r.inside < 0 ? none : most_[r.inside]);
-      Pace most = r.pace;
-      for (const Change& change : r.changes) {
-        most.rate = std::max(most.rate, change.pace.rate);
-        most.burst = std::max(most.burst, change.pace.burst);
+      TokenRate none{inf, inf};
+      above_.push_back(r.parent < 0 ? none : most_[r.parent]);
+      TokenRate most = r.rate;
+      for (const RateOverride& change : r.overrides) {
+        most.per_second = std::max(most.per_second, change.rate.per_second);
+        most.burst = std::max(most.burst, change.rate.burst);
       }
       most_.push_back(r.borrows ? above_.back() : most);
       if (whole_[i]) CheckChanges(i);
-      if (!whole_[i] || r.inside < 0 || !whole_[r.inside]) continue;
+      if (!whole_[i] || r.parent < 0 || !whole_[r.parent]) continue;
       if (!r.borrows) CheckAmounts(i);
       CheckUseful(i);
     }
@@ -65,13 +65,13 @@
 
  private:
   void CheckAmounts(std::size_t i) {
-    auto check = [&](const Pace& pace, const PacePlace& at) {
-      const std::string& above = rations_[rations_[i].inside].name;
-      if (pace.rate > above_[i].rate) {
+    auto check = [&](const TokenRate& pace, const PacePlace& at) {
+      const std::string& above = rations_[rations_[i].parent].name;
+      if (pace.per_second > above_[i].per_second) {
         faults_.Add(at.rate,
                     fmt::format("the rate is larger than '{}', which '{}' is inside of, ever gives ({} a "
                                 "second); at most that expected, or 'borrows'",
-                                above, rations_[i].name, above_[i].rate));
+                                above, rations_[i].name, above_[i].per_second));
       }
       if (pace.burst > above_[i].burst) {
         faults_.Add(at.burst,
@@ -80,28 +80,31 @@
                                 above, rations_[i].name, above_[i].burst));
       }
     };
-    check(rations_[i].pace, places_[i].pace);
-    for (std::size_t c = 0; c < rations_[i].changes.size(); ++c) {
-      check(rations_[i].changes[c].pace, places_[i].changes[c]);
+    check(rations_[i].rate, places_[i].pace);
+    for (std::size_t c = 0; c < rations_[i].overrides.size(); ++c) {
+      check(rations_[i].overrides[c].rate, places_[i].changes[c]);
     }
   }
 
   // The ration around is of no effect if all its requests meet this one first, in the same buckets, and this
   // one never lets through more than it does.
   void CheckUseful(std::size_t i) {
-    const Ration& in = rations_[i];
-    const Ration& around = rations_[in.inside];
-    if (in.tenants != around.tenants || in.classes != around.classes || in.kind != around.kind ||
-        in.turn != around.turn || in.per != around.per || in.key_group != around.key_group) {
+    const Quota& in = rations_[i];
+    const Quota& around = rations_[in.parent];
+    if (in.tenants != around.tenants || in.classes != around.classes || in.access != around.access ||
+        in.try_kind != around.try_kind || in.bucket_key != around.bucket_key ||
+        in.key_prefix_length != around.key_prefix_length) {
       return;
     }
-    if (in.borrows || in.over != Over::kReject || (!in.hard && in.alone != Alone::kReject)) return;
-    Pace least = around.pace;
-    for (const Change& change : around.changes) {
-      least.rate = std::min(least.rate, change.pace.rate);
-      least.burst = std::min(least.burst, change.pace.burst);
+    if (in.borrows || in.over_limit != OverLimitAction::kReject ||
+        (!in.hard && in.when_unreachable != WhenUnreachable::kReject))
+      return;
+    TokenRate least = around.rate;
+    for (const RateOverride& change : around.overrides) {
+      least.per_second = std::min(least.per_second, change.rate.per_second);
+      least.burst = std::min(least.burst, change.rate.burst);
     }
-    if (most_[i].rate > least.rate || most_[i].burst > least.burst) return;
+    if (most_[i].per_second > least.per_second || most_[i].burst > least.burst) return;
     faults_.Add(
         places_[i].name,
         fmt::format(
@@ -111,17 +114,18 @@
   }
 
   void CheckChanges(std::size_t i) {
-    const std::vector<Change>& changes = rations_[i].changes;
+    const std::vector<RateOverride>& changes = rations_[i].overrides;
     std::vector<std::size_t> order(changes.size());
     std::iota(order.begin(), order.end(), 0u);
     std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
-      return std::pair(changes[a].signs, changes[a].from_s) < std::pair(changes[b].signs, changes[b].from_s);
+      return std::pair(changes[a].conditions, changes[a].from_s) <
+             std::pair(changes[b].conditions, changes[b].from_s);
     });
     std::vector<bool> overlaps(changes.size());
     std::size_t longest = 0;  // of those with the same signs so far, the one that ends last
     for (std::size_t n = 1; n < order.size(); ++n) {
       std::size_t a = order[longest], b = order[n];
-      if (changes[a].signs == changes[b].signs && changes[a].to_s > changes[b].from_s) {
+      if (changes[a].conditions == changes[b].conditions && changes[a].to_s > changes[b].from_s) {
         std::size_t later = std::max(a, b), earlier = std::min(a, b);
         overlaps[later] = true;
         Place other = places_[i].changes[earlier].at;
@@ -130,12 +134,12 @@
                                 "conditions; times apart expected",
                                 other.line, other.column));
       }
-      if (changes[a].signs != changes[b].signs || changes[b].to_s >= changes[a].to_s) longest = n;
+      if (changes[a].conditions != changes[b].conditions || changes[b].to_s >= changes[a].to_s) longest = n;
     }
     for (std::size_t b = 1; b < changes.size(); ++b) {
       for (std::size_t a = 0; a < b && !overlaps[b]; ++a) {
-        const Change &first = changes[a], &second = changes[b];
-        if (first.signs == second.signs || (first.signs & ~second.signs) != 0) continue;
+        const RateOverride &first = changes[a], &second = changes[b];
+        if (first.conditions == second.conditions || (first.conditions & ~second.conditions) != 0) continue;
         if (first.from_s > second.from_s || first.to_s < second.to_s) continue;
         overlaps[b] = true;
         Place other = places_[i].changes[a].at;
@@ -154,12 +158,12 @@
   void CheckOrder() {
     std::map<int, std::vector<std::size_t>> inside;
     for (std::size_t i = 0; i < rations_.size(); ++i) {
-      if (whole_[i]) inside[rations_[i].inside].push_back(i);
+      if (whole_[i]) inside[rations_[i].parent].push_back(i);
     }
     for (const auto& [around, list] : inside) {
       for (std::size_t b = 1; b < list.size(); ++b) {
         for (std::size_t a = 0; a < b; ++a) {
-          const Ration &first = rations_[list[a]], &second = rations_[list[b]];
+          const Quota &first = rations_[list[a]], &second = rations_[list[b]];
           std::string both = Both(first, second, settings_);
           if (both.empty()) continue;
           faults_.Add(
@@ -175,18 +179,18 @@
     }
   }
 
-  const std::vector<Ration>& rations_;
+  const std::vector<Quota>& rations_;
   const std::vector<RationPlaces>& places_;
   const std::vector<bool>& whole_;
   const Settings& settings_;
   Faults& faults_;
-  std::vector<Pace> most_, above_;  // what each can ever give, and what the one around it can
+  std::vector<TokenRate> most_, above_;  // what each can ever give, and what the one around it can
 };
 
 }  // namespace
 
-void CheckTable(const Table& table, const std::vector<RationPlaces>& places, const std::vector<bool>& whole,
-                const Settings& settings, Faults& faults) {
+void CheckTable(const QuotaTable& table, const std::vector<RationPlaces>& places,
+                const std::vector<bool>& whole, const Settings& settings, Faults& faults) {
   Checker(table, places, whole, settings, faults).Check();
 }
 
--- a/src/rations/book_checks.h
+++ b/src/rations/quota_config_checks.h
@@ -3,7 +3,7 @@
 
 #include <vector>
 
-#include "rations/book_text.h"
+#include "rations/quota_config_ast.h"
 
 namespace peatbend::rations::book {
 
@@ -18,7 +18,7 @@
 };
 
 // `whole`: of each ration, whether it was read without a fault; the others are passed over.
-void CheckTable(const Table& table, const std::vector<RationPlaces>& places, const std::vector<bool>& whole,
-                const Settings& settings, Faults& faults);
+void CheckTable(const QuotaTable& table, const std::vector<RationPlaces>& places,
+                const std::vector<bool>& whole, const Settings& settings, Faults& faults);
 
 }  // namespace peatbend::rations::book
--- a/src/rations/book_print.cpp
+++ b/src/rations/quota_config_format.cpp
@@ -6,8 +6,8 @@
 #include <cctype>
 
 #include "base/text.h"
-#include "rations/book_text.h"
-#include "rations/book_times.h"
+#include "rations/quota_config_ast.h"
+#include "rations/quota_config_times.h"
 
 namespace peatbend::rations {
 namespace {
@@ -53,68 +53,72 @@
   return text;
 }
 
-std::string Whom(const Ration& ration, const Settings& settings) {
+std::string Whom(const Quota& ration, const Settings& settings) {
   std::string text;
   auto add = [&](const std::string& item) { text.append(text.empty() ? "" : ", ").append(item); };
   if (!ration.classes.empty()) add("class " + Names(ration.classes, settings.classes));
   if (!ration.tenants.empty()) add("franchisee " + Names(ration.tenants, settings.tenants));
-  if (ration.kind != Kind::kAny) add(ration.kind == Kind::kReads ? "reads" : "writes");
-  if (ration.turn != Turn::kAny) add(ration.turn == Turn::kFirsts ? "firsts" : "repeats");
-  if (ration.per & kPerTenant) add("each franchisee");
-  if (ration.per & kPerClass) add("each class");
-  if (ration.per & kPerClient) add("each shop");
-  if (ration.per & kPerKeyGroup) add(fmt::format("each key group of {} characters", ration.key_group));
+  if (ration.access != AccessKind::kAny) add(ration.access == AccessKind::kReads ? "reads" : "writes");
+  if (ration.try_kind != TryKind::kAny) add(ration.try_kind == TryKind::kFirst ? "firsts" : "repeats");
+  if (ration.bucket_key & kPerTenant) add("each franchisee");
+  if (ration.bucket_key & kPerClass) add("each class");
+  if (ration.bucket_key & kPerClient) add("each shop");
+  if (ration.bucket_key & kPerKeyPrefix)
+    add(fmt::format("each key group of {} characters", ration.key_prefix_length));
   return text.empty() ? "everything" : text;
 }
 
-std::string When(const Change& change) {
+std::string When(const RateOverride& change) {
   std::string text;
   if (change.from_s != INT64_MIN) text = "from " + book::UtcText(change.from_s);
   if (change.to_s != INT64_MAX) text += (text.empty() ? "until " : " to ") + book::UtcText(change.to_s);
-  if (change.signs != kNoSign) {
+  if (change.conditions != kNoCondition) {
     text += text.empty() ? "while " : " while ";
-    if (change.signs & kOriginStrained) text += "origin strained";
-    if (change.signs == (kOriginStrained | kZoneLost)) text += " and ";
-    if (change.signs & kZoneLost) text += "zone lost";
+    if (change.conditions & kOriginOverloaded) text += "origin strained";
+    if (change.conditions == (kOriginOverloaded | kZoneLost)) text += " and ";
+    if (change.conditions & kZoneLost) text += "zone lost";
   }
   return text;
 }
 
 }  // namespace
 
-std::string PrintBook(const Table& table, const Settings& settings) {
-  std::string out = fmt::format("book reads {}\ntime zone UTC\n", table.reads);
-  for (const Retired& one : table.retired)
+std::string FormatQuotaConfig(const QuotaTable& table, const Settings& settings) {
+  std::string out = fmt::format("book reads {}\ntime zone UTC\n", table.language_version);
+  for (const RetiredReader& one : table.retired_readers)
     out += fmt::format("retire reader {} statement {} because {};\n", Name(one.reader), one.statement,
-                       Quoted(one.why));
-  for (const Ration& ration : table.rations) {
+                       Quoted(one.reason));
+  for (const Quota& ration : table.quotas) {
     out += "ration " + ration.name;
-    if (ration.inside >= 0) out += " inside " + table.rations.at(ration.inside).name;
+    if (ration.parent >= 0) out += " inside " + table.quotas.at(ration.parent).name;
     out += fmt::format(" {{\n  counts {};\n  rate {};\n  burst {};\n", Whom(ration, settings),
-                       Rate(ration.pace.rate), ration.pace.burst);
+                       Rate(ration.rate.per_second), ration.rate.burst);
     out += ration.hard ? "  hard;\n"
-                       : fmt::format("  soft, alone {};\n", ration.alone == Alone::kReject     ? "reject"
-                                                            : ration.alone == Alone::kOwnShare ? "own share"
-                                                                                               : "open");
+                       : fmt::format("  soft, alone {};\n",
+                                     ration.when_unreachable == WhenUnreachable::kReject     ? "reject"
+                                     : ration.when_unreachable == WhenUnreachable::kOwnShare ? "own share"
+                                                                                             : "open");
     if (ration.borrows) out += "  borrows;\n";
-    out += fmt::format("  over: {};\n", ration.over == Over::kReject      ? "reject"
-                                        : ration.over == Over::kRankLower ? "rank lower"
-                                                                          : "count only");
-    for (const Change& change : ration.changes) {
-      out +=
-          fmt::format("  {}: rate {}, burst {};\n", When(change), Rate(change.pace.rate), change.pace.burst);
+    out +=
+        fmt::format("  over: {};\n", ration.over_limit == OverLimitAction::kReject          ? "reject"
+                                     : ration.over_limit == OverLimitAction::kLowerPriority ? "rank lower"
+                                                                                            : "count only");
+    for (const RateOverride& change : ration.overrides) {
+      out += fmt::format("  {}: rate {}, burst {};\n", When(change), Rate(change.rate.per_second),
+                         change.rate.burst);
     }
     out += "}\n";
   }
   return out;
 }
 
-std::uint64_t book::BookPrint(const Table& table, const Settings& settings, const std::string& canonical) {
+std::uint64_t book::FingerprintOf(const QuotaTable& table, const Settings& settings,
+                                  const std::string& canonical) {
   // Names have numbers in the table, and those of all franchisees or classes are in the buckets of 'each'.
   std::vector<bool> tenants(settings.tenants.size()), classes(settings.classes.size());
-  for (const Ration& ration : table.rations) {
-    if (ration.per & kPerTenant) tenants.assign(tenants.size(), true);
-    if (ration.per & kPerClass) classes.assign(classes.size(), true);
+  for (const Quota& ration : table.quotas) {
+    if (ration.bucket_key & kPerTenant) tenants.assign(tenants.size(), true);
+    if (ration.bucket_key & kPerClass) classes.assign(classes.size(), true);
     for (int number : ration.tenants) tenants.at(number) = true;
     for (int number : ration.classes) classes.at(number) = true;
   }
--- a/src/rations/book_names.cpp
+++ b/src/rations/quota_config_names.cpp
@@ -1,4 +1,4 @@
-#include "rations/book_names.h"
+#include "rations/quota_config_names.h"
 
 #include <fmt/format.h>
 
--- a/src/rations/book_names.h
+++ b/src/rations/quota_config_names.h
@@ -6,7 +6,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "rations/book_text.h"
+#include "rations/quota_config_ast.h"
 
 namespace peatbend::rations::book {
 
--- a/src/rations/book_changes.cpp
+++ b/src/rations/quota_config_overrides.cpp
@@ -1,8 +1,8 @@
-#include "rations/book_changes.h"
+#include "rations/quota_config_overrides.h"
 
 #include <fmt/format.h>
 
-#include "rations/book_names.h"
+#include "rations/quota_config_names.h"
 
 namespace peatbend::rations::book {
 namespace {
@@ -48,8 +48,8 @@
   return good;
 }
 
-bool ChangeReader::Add(const Statement& statement, Ration& ration, RationPlaces& places) {
-  Change change{.signs = statement.signs, .pace = {Rate(statement.rate), Burst(statement.burst)}};
+bool ChangeReader::Add(const Statement& statement, Quota& ration, RationPlaces& places) {
+  RateOverride change{.conditions = statement.signs, .rate = {Rate(statement.rate), Burst(statement.burst)}};
   if (!GoodTimes(statement)) return true;
   const std::vector<Day>& days = statement.days;
   const std::vector<Hour>& hours = statement.hours;
@@ -70,22 +70,23 @@
   return AddOne(statement, change, ration, places);
 }
 
-bool ChangeReader::AddOne(const Statement& statement, const Change& change, Ration& ration,
+bool ChangeReader::AddOne(const Statement& statement, const RateOverride& change, Quota& ration,
                           RationPlaces& places) {
-  if (ration.changes.size() == kMostChanges || changes_ == kMostBookChanges) {
+  if (ration.overrides.size() == kMaxOverridesPerQuota || changes_ == kMaxOverrides) {
     faults_.Add(statement.at,
                 fmt::format("too many changes, daily hours counted by the day; at most {} of a ration "
                             "and {} of a book expected",
-                            kMostChanges, kMostBookChanges));
+                            kMaxOverridesPerQuota, kMaxOverrides));
     return false;
   }
   ++changes_;
-  ration.changes.push_back(change);
+  ration.overrides.push_back(change);
   places.changes.push_back({statement.at, statement.rate.at, statement.burst.at});
   return true;
 }
 
-bool ChangeReader::AddDaily(const Statement& statement, Change change, Ration& ration, RationPlaces& places) {
+bool ChangeReader::AddDaily(const Statement& statement, RateOverride change, Quota& ration,
+                            RationPlaces& places) {
   const Hour &from = statement.hours[0], &to = statement.hours[1];
   auto clock = [](const Hour& h) { return (h.hour * 60 + h.minute) * 60 + h.second; };
   auto date = [](const Day& d) { return (d.year * 16 + d.month) * 32 + d.day; };
--- a/src/rations/book_changes.h
+++ b/src/rations/quota_config_overrides.h
@@ -4,8 +4,8 @@
 #include <cstddef>
 #include <optional>
 
-#include "rations/book_checks.h"
-#include "rations/book_times.h"
+#include "rations/quota_config_checks.h"
+#include "rations/quota_config_times.h"
 
 namespace peatbend::rations::book {
 
@@ -17,12 +17,12 @@
   double Rate(const Amount& amount);
   double Burst(const Amount& amount);
   // False where there are too many, and no more are to be read.
-  bool Add(const Statement& statement, Ration& ration, RationPlaces& places);
+  bool Add(const Statement& statement, Quota& ration, RationPlaces& places);
 
  private:
   bool GoodTimes(const Statement& statement);
-  bool AddOne(const Statement& statement, const Change& change, Ration& ration, RationPlaces& places);
-  bool AddDaily(const Statement& statement, Change change, Ration& ration, RationPlaces& places);
+  bool AddOne(const Statement& statement, const RateOverride& change, Quota& ration, RationPlaces& places);
+  bool AddDaily(const Statement& statement, RateOverride change, Quota& ration, RationPlaces& places);
 
   Faults& faults_;
   std::optional<Zone> zone_;
--- a/src/rations/book_parse.cpp
+++ b/src/rations/quota_config_parse.cpp
@@ -4,8 +4,8 @@
 #include <cctype>
 
 #include "base/text.h"
-#include "rations/book_grammar.h"
-#include "rations/book_text.h"
+#include "rations/quota_config_ast.h"
+#include "rations/quota_config_grammar.h"
 
 namespace peatbend::rations::book {
 namespace {
@@ -185,19 +185,19 @@
   static void apply0(Reading& reading) { kChange(reading); }
 };
 template <>
-struct Action<g::alone_reject> : Does<[](Reading& r) { r.now().alone = Alone::kReject; }> {};
+struct Action<g::alone_reject> : Does<[](Reading& r) { r.now().alone = WhenUnreachable::kReject; }> {};
 template <>
-struct Action<g::alone_own> : Does<[](Reading& r) { r.now().alone = Alone::kOwnShare; }> {};
+struct Action<g::alone_own> : Does<[](Reading& r) { r.now().alone = WhenUnreachable::kOwnShare; }> {};
 template <>
-struct Action<g::alone_open> : Does<[](Reading& r) { r.now().alone = Alone::kOpen; }> {};
+struct Action<g::alone_open> : Does<[](Reading& r) { r.now().alone = WhenUnreachable::kAdmit; }> {};
 template <>
-struct Action<g::over_reject> : Does<[](Reading& r) { r.now().over = Over::kReject; }> {};
+struct Action<g::over_reject> : Does<[](Reading& r) { r.now().over = OverLimitAction::kReject; }> {};
 template <>
-struct Action<g::over_rank> : Does<[](Reading& r) { r.now().over = Over::kRankLower; }> {};
+struct Action<g::over_rank> : Does<[](Reading& r) { r.now().over = OverLimitAction::kLowerPriority; }> {};
 template <>
-struct Action<g::over_count> : Does<[](Reading& r) { r.now().over = Over::kCountOnly; }> {};
+struct Action<g::over_count> : Does<[](Reading& r) { r.now().over = OverLimitAction::kCountOnly; }> {};
 template <>
-struct Action<g::sign_origin> : Does<[](Reading& r) { r.now().signs |= kOriginStrained; }> {};
+struct Action<g::sign_origin> : Does<[](Reading& r) { r.now().signs |= kOriginOverloaded; }> {};
 template <>
 struct Action<g::sign_zone> : Does<[](Reading& r) { r.now().signs |= kZoneLost; }> {};
 template <>
@@ -229,8 +229,8 @@
 }> {};
 template <>
 struct Action<g::ration_text> : Takes<[](Reading& r, Place at, View t) {
-  if (r.book.rations.size() == kMostRations) {
-    r.faults().Add(at, fmt::format("more than {} rations", kMostRations));
+  if (r.book.rations.size() == kMaxQuotas) {
+    r.faults().Add(at, fmt::format("more than {} rations", kMaxQuotas));
     throw Stop();
   }
   r.Ration({at, std::string(t)});
@@ -258,8 +258,8 @@
         at, fmt::format("'retire' is of version 2 of the language, and the book reads {}", r.book.reads));
     throw Stop();
   }
-  if (r.book.retired.size() == kMostRetired) {
-    r.faults().Add(at, fmt::format("more than {} readers retired", kMostRetired));
+  if (r.book.retired.size() == kMaxRetiredReaders) {
+    r.faults().Add(at, fmt::format("more than {} readers retired", kMaxRetiredReaders));
     throw Stop();
   }
   r.book.retired.emplace_back();
--- a/src/rations/book_times.cpp
+++ b/src/rations/quota_config_times.cpp
@@ -1,4 +1,4 @@
-#include "rations/book_times.h"
+#include "rations/quota_config_times.h"
 
 #include <date/tz.h>
 #include <fmt/format.h>
--- a/src/rations/book_times.h
+++ b/src/rations/quota_config_times.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <string>
 
-#include "rations/book_text.h"
+#include "rations/quota_config_ast.h"
 
 namespace date {
 class time_zone;
--- a/src/rations/wire.cpp
+++ b/src/rations/wire.cpp
@@ -28,7 +28,7 @@
   for (const Entry& entry : m.entries) {
     to.Array(2 + 2u * entry.chain.size).Number(entry.want).Number(entry.wait_ms);
     for (std::size_t i = 0; i < entry.chain.size; ++i)
-      to.Number(entry.chain.buckets[i].ration).Number(entry.chain.buckets[i].of);
+      to.Number(entry.chain.buckets[i].quota).Number(entry.chain.buckets[i].key_hash);
   }
 }
 
@@ -52,11 +52,13 @@
 
 bool Read(MsgpackReader& from, Entry& entry) {
   std::size_t fields = 0;
-  from.Array(fields, 4, 2 + 2 * kDeepest).Number(entry.want, kMostTokens).Number(entry.wait_ms, kMostWait);
+  from.Array(fields, 4, 2 + 2 * kMaxQuotaDepth)
+      .Number(entry.want, kMostTokens)
+      .Number(entry.wait_ms, kMostWait);
   if (!from.fine() || fields % 2 != 0) return false;
   entry.chain.size = static_cast<std::uint8_t>(fields / 2 - 1);
   for (std::size_t i = 0; i < entry.chain.size; ++i)
-    from.Number(entry.chain.buckets[i].ration, 0xffffffffu).Number(entry.chain.buckets[i].of, kAny);
+    from.Number(entry.chain.buckets[i].quota, 0xffffffffu).Number(entry.chain.buckets[i].key_hash, kAny);
   return from.fine();
 }
 
--- a/src/router/publication_office.cpp
+++ b/src/router/publication_office.cpp
@@ -6,7 +6,7 @@
 
 #include "base/nonce.h"
 #include "compat/wire.h"
-#include "rations/book.h"
+#include "rations/quota_config.h"
 
 namespace peatbend::net {
 namespace {
@@ -98,11 +98,12 @@
 
 // ---- Books ------------------------------------------------------------------------------------------------
 
-std::shared_ptr<const rations::Table> PublicationOffice::ReadBook(const std::string& text,
-                                                                  std::string& why) const {
+std::shared_ptr<const rations::QuotaTable> PublicationOffice::ReadBook(const std::string& text,
+                                                                       std::string& why) const {
   try {
-    return std::make_shared<const rations::Table>(rations::ReadBook(text, settings_, "book", reads_));
-  } catch (const rations::BookRefused& refused) {
+    return std::make_shared<const rations::QuotaTable>(
+        rations::ParseQuotaConfig(text, settings_, "book", reads_));
+  } catch (const rations::InvalidQuotaConfig& refused) {
     why = refused.what();
     return nullptr;
   }
--- a/src/router/publication_office.h
+++ b/src/router/publication_office.h
@@ -23,7 +23,7 @@
 
 class PublicationOffice : public compat::Published {
  public:
-  using Hold = std::function<void(std::shared_ptr<const rations::Table>)>;
+  using Hold = std::function<void(std::shared_ptr<const rations::QuotaTable>)>;
 
   // Speaks through `peers`, which lives until Hush or the end of this.
   PublicationOffice(event_base* base, const Config& config, peers::Peers& peers, Log& log);
@@ -56,7 +56,7 @@
   void Flush();
   void Carry(const std::string& to, const compat::Say& say);
   bool Save();
-  std::shared_ptr<const rations::Table> ReadBook(const std::string& text, std::string& why) const;
+  std::shared_ptr<const rations::QuotaTable> ReadBook(const std::string& text, std::string& why) const;
 
   peers::Peers* peers_;  // null: hushed
   Log& log_;
--- a/src/router/ration_office.cpp
+++ b/src/router/ration_office.cpp
@@ -95,8 +95,8 @@
   peers_->OnCargo(peers::Peers::Lane::kRations,
                   [this](const std::string& from, const std::string& bytes) { Arrived(from, bytes); });
   decision_.Ration(this);
-  log_.Line("rations", fmt::format("book {:016x} of {} rations holds", office_.table().print,
-                                   office_.table().rations.size()));
+  log_.Line("rations", fmt::format("book {:016x} of {} rations holds", office_.table().fingerprint,
+                                   office_.table().quotas.size()));
   Tick();
 }
 
@@ -110,25 +110,27 @@
   peers_ = nullptr;
 }
 
-void RationOffice::SetBook(std::shared_ptr<const rations::Table> table) {
-  if (table->print == office_.table().print) return log_.Line("rations", "the book stays as it is");
-  log_.Line("rations", fmt::format("book {:016x} of {} rations holds, in place of {:016x}", table->print,
-                                   table->rations.size(), office_.table().print));
+void RationOffice::SetBook(std::shared_ptr<const rations::QuotaTable> table) {
+  if (table->fingerprint == office_.table().fingerprint)
+    return log_.Line("rations", "the book stays as it is");
+  log_.Line("rations", fmt::format("book {:016x} of {} rations holds, in place of {:016x}",
+                                   table->fingerprint, table->quotas.size(), office_.table().fingerprint));
   office_.SetTable(peers::Peers::Now(), std::move(table));
   Flush();
 }
 
 void RationOffice::Judge(const Request& request, RequestEvent& event) {
-  rations::Asked asked;
+  rations::RequestAttributes asked;
   asked.tenant = request.tenant;
   asked.cls = request.cls;
   asked.write = request.write;
-  asked.repeat = request.retry;
+  asked.retry = request.retry;
   asked.client = request.client;
   asked.key = request.key;
   rations::Verdict verdict = office_.Take(peers::Peers::Now(), asked);
-  if (!verdict.within && verdict.over != rations::Over::kCountOnly) {
-    event.allowance = verdict.over == rations::Over::kReject ? Allowance::kReject : Allowance::kLower;
+  if (!verdict.within && verdict.over != rations::OverLimitAction::kCountOnly) {
+    event.allowance =
+        verdict.over == rations::OverLimitAction::kReject ? Allowance::kReject : Allowance::kLower;
     event.come_back = verdict.come_back;
   }
   // A request changes nothing but what the purse has to ask.
@@ -164,8 +166,8 @@
 }
 
 unsigned RationOffice::Signs() const {
-  unsigned signs = rations::kNoSign;
-  if (decision_.balancer().origin_strained()) signs |= rations::kOriginStrained;
+  unsigned signs = rations::kNoCondition;
+  if (decision_.balancer().origin_strained()) signs |= rations::kOriginOverloaded;
   if (std::ranges::any_of(
           zones_, [this](const std::string& zone) { return peers_ != nullptr && peers_->ZoneGone(zone); }))
     signs |= rations::kZoneLost;
@@ -197,7 +199,7 @@
 std::vector<std::pair<std::string, std::uint64_t>> RationOffice::Figures() const {
   const rations::Purse::Figures& purse = office_.purse().figures();
   const rations::Office::Figures& f = office_.figures();
-  return {{"book", office_.table().print},
+  return {{"book", office_.table().fingerprint},
           {"within", purse.within},
           {"over", purse.over},
           {"alone", purse.alone},
--- a/src/router/ration_office.h
+++ b/src/router/ration_office.h
@@ -27,7 +27,7 @@
   // Nobody can be reached from now on: what is in hand may still be used.
   void Hush();
   // The book as a configuration that was read anew has it.
-  void SetBook(std::shared_ptr<const rations::Table> table);
+  void SetBook(std::shared_ptr<const rations::QuotaTable> table);
 
   // The program's figures of it, names without a prefix.
   std::vector<std::pair<std::string, std::uint64_t>> Figures() const;
--- a/tests/compat/processes_test.cpp
+++ b/tests/compat/processes_test.cpp
@@ -9,9 +9,9 @@
 namespace peatbend::rations::test {
 namespace {
 
-const Pace kFirst{100, 20}, kLess{50, 10}, kLeast{20, 5};
+const TokenRate kFirst{100, 20}, kLess{50, 10}, kLeast{20, 5};
 
-std::string Second(const Pace& pace, const std::string& retires = "") {
+std::string Second(const TokenRate& pace, const std::string& retires = "") {
   std::string book = BookOf(pace);
   return "book reads 2\n" + retires + book.substr(book.find('\n') + 1);
 }
--- a/tests/fuzz/book_fuzz.cpp
+++ b/tests/fuzz/quota_config_fuzz.cpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-#include "rations/book.h"
+#include "rations/quota_config.h"
 
 using namespace peatbend;
 using namespace peatbend::rations;
@@ -53,22 +53,22 @@
     return s;
   }();
   std::string_view text(reinterpret_cast<const char*>(data), size);
-  Table table;
+  QuotaTable table;
   try {
-    table = ReadBook(text, settings, "b");
-  } catch (const BookRefused& refused) {
+    table = ParseQuotaConfig(text, settings, "b");
+  } catch (const InvalidQuotaConfig& refused) {
     auto lines = std::count(text.begin(), text.end(), '\n') + 1;
-    if (refused.errors().empty() || refused.errors().size() > kMostBookErrors) std::abort();
-    for (const BookError& error : refused.errors()) {
-      if (error.line < 1 || error.line > lines || error.column < 1 || error.what.empty()) std::abort();
+    if (refused.errors().empty() || refused.errors().size() > kMaxQuotaConfigErrors) std::abort();
+    for (const QuotaConfigError& error : refused.errors()) {
+      if (error.line < 1 || error.line > lines || error.column < 1 || error.message.empty()) std::abort();
     }
     return 0;
   }
-  std::string printed = PrintBook(table, settings);
-  Table again = ReadBook(printed, settings, "b");  // what it throws is found
-  if (again.rations != table.rations || again.retired != table.retired || again.print != table.print ||
-      table.print == 0)
+  std::string printed = FormatQuotaConfig(table, settings);
+  QuotaTable again = ParseQuotaConfig(printed, settings, "b");  // what it throws is found
+  if (again.quotas != table.quotas || again.retired_readers != table.retired_readers ||
+      again.fingerprint != table.fingerprint || table.fingerprint == 0)
     std::abort();
-  if (PrintBook(again, settings) != printed) std::abort();
+  if (FormatQuotaConfig(again, settings) != printed) std::abort();
   return 0;
 }
--- a/tests/fuzz/rations_fuzz.cpp
+++ b/tests/fuzz/rations_fuzz.cpp
@@ -21,20 +21,20 @@
 constexpr std::uint64_t kOwnNonce = 7;
 const std::vector<failover::ReplicaName> kSeatNames{{"me", "a"}, {"other", "b"}, {"third", "c"}};
 
-std::shared_ptr<const Table> TheTable() {
-  auto table = std::make_shared<Table>();
-  table->print = 5;
-  table->rations.push_back({.name = "all", .pace = {100, 20}});
-  table->rations.push_back({.name = "own", .per = kPerClient, .pace = {20, 10}, .inside = 0});
+std::shared_ptr<const QuotaTable> TheTable() {
+  auto table = std::make_shared<QuotaTable>();
+  table->fingerprint = 5;
+  table->quotas.push_back({.name = "all", .rate = {100, 20}});
+  table->quotas.push_back({.name = "own", .bucket_key = kPerClient, .rate = {20, 10}, .parent = 0});
   return table;
 }
 
 // A whole message of each kind, such as the office waits for, for the fuzzer to spoil.
 std::string Sample(unsigned which, std::uint64_t seats) {
-  Asked asked;
+  RequestAttributes asked;
   asked.client = 1 + which / 8 % 3;
   static const auto table = TheTable();
-  Chain chain = table->ChainOf(asked);
+  BucketPath chain = table->BucketPathOf(asked);
   Message m;
   m.kind = static_cast<MessageKind>(which % 8);
   m.shard = ShardOf(chain);
@@ -43,7 +43,7 @@
   m.life = m.kind == MessageKind::kConfirm ? kOwnNonce : 3;
   m.number = 1 + which / 144 % 3;
   m.drawer = m.kind == MessageKind::kGrant ? kOwnNonce : 9;
-  m.print = table->print;
+  m.print = table->fingerprint;
   if (m.kind == MessageKind::kDraw || m.kind == MessageKind::kGrant)
     m.entries.push_back({chain, 1 + which / 432 % 100, 10});
   return Encode(seats, {m, m});
@@ -81,11 +81,11 @@
   std::vector<Out> said;
   auto step = [&](Span span) {
     for (std::uint64_t client : {1, 2, 3}) {
-      Asked asked;
+      RequestAttributes asked;
       asked.client = client;
       office.Take(now, asked);
     }
-    office.Tick(now += span, 1'800'000'000, kNoSign);
+    office.Tick(now += span, 1'800'000'000, kNoCondition);
     for (Out& out : office.TakeOut()) said.push_back(std::move(out));
   };
   step(0ms);
@@ -95,8 +95,8 @@
   }
   step(600ms);
   // Whatever is granted, no more is owed than may be; and what it says can be read by others.
-  Bucket root = table->ChainOf({}).root();
-  if (office.purse().owed(root) > AheadOf(table->rations[0].pace)) std::abort();
+  Bucket root = table->BucketPathOf({}).root();
+  if (office.purse().owed(root) > CreditLimit(table->quotas[0].rate)) std::abort();
   for (const Out& out : said) {
     if (Decode(Encode(seats.print(), {out.message}), seats.print(), again) != DecodeError::kNone)
       std::abort();
--- a/tests/net/config_test.cpp
+++ b/tests/net/config_test.cpp
@@ -213,7 +213,7 @@
       {.toml = kSound + peers + "[failover]\nreplicas = [\"a/x\", \"b/y\", \"c\"]\n[rations]\n" + book},
       NoVariable);
   REQUIRE(read.rations.table != nullptr);
-  CHECK(read.rations.table->rations.size() == 1);
+  CHECK(read.rations.table->quotas.size() == 1);
   CHECK(read.rations.seats == read.failover.replicas);
   CHECK(fault(book + "seats = [\"a/x@127.0.0.1:1\", \"b@127.0.0.1:2\", \"c\"]\n") == "none");
   for (const auto& [rations, key] :
--- a/tests/orders/office_town.cpp
+++ b/tests/orders/office_town.cpp
@@ -14,13 +14,13 @@
 
 std::string NameOf(std::size_t router) { return "r" + std::to_string(router); }
 
-std::shared_ptr<const rations::Table> BookOf(std::uint64_t print, double tokens_a_tick) {
-  auto table = std::make_shared<rations::Table>();
-  table->print = print;
-  rations::Ration ration;
+std::shared_ptr<const rations::QuotaTable> BookOf(std::uint64_t print, double tokens_a_tick) {
+  auto table = std::make_shared<rations::QuotaTable>();
+  table->fingerprint = print;
+  rations::Quota ration;
   ration.name = "all";
-  ration.pace = {.rate = 4 * tokens_a_tick, .burst = OfficeTown::kBurst * tokens_a_tick};
-  table->rations.push_back(ration);
+  ration.rate = {.per_second = 4 * tokens_a_tick, .burst = OfficeTown::kBurst * tokens_a_tick};
+  table->quotas.push_back(ration);
   return table;
 }
 
@@ -140,7 +140,7 @@
   switch (what) {
     case What::kRequest:
       --router.requests;
-      call = [now](Office& office) { return office.Take(now, rations::Asked{}).within; };
+      call = [now](Office& office) { return office.Take(now, rations::RequestAttributes{}).within; };
       break;
     case What::kBook:
       router.next_book = true;
--- a/tests/orders/office_town.h
+++ b/tests/orders/office_town.h
@@ -73,7 +73,7 @@
   };
   struct World {  // of all states
     OfficeSetup setup;
-    std::shared_ptr<const rations::Table> books[2];
+    std::shared_ptr<const rations::QuotaTable> books[2];
     failover::ReplicaSet seats{{{"r0", "a"}, {"r1", "b"}, {"r2", "c"}}};
     mutable Memo<Did> did{1u << 14};
   };
--- a/tests/orders/rations_router.cpp
+++ b/tests/orders/rations_router.cpp
@@ -8,19 +8,19 @@
 using rations::Message;
 using Way = Parcel::Way;
 
-std::shared_ptr<const rations::Table> RationsOf(int burst, int nested) {
-  auto table = std::make_shared<rations::Table>();
-  table->print = 1;
-  rations::Ration ration;
+std::shared_ptr<const rations::QuotaTable> RationsOf(int burst, int nested) {
+  auto table = std::make_shared<rations::QuotaTable>();
+  table->fingerprint = 1;
+  rations::Quota ration;
   ration.name = "all";
-  ration.pace = {.rate = 4, .burst = static_cast<double>(burst)};
-  table->rations.push_back(ration);
+  ration.rate = {.per_second = 4, .burst = static_cast<double>(burst)};
+  table->quotas.push_back(ration);
   if (nested == 0) return table;
   ration.name = "some";
   ration.tenants = {0};
-  ration.pace = {.rate = 2.0 * nested, .burst = 1};
-  ration.inside = 0;
-  table->rations.push_back(ration);
+  ration.rate = {.per_second = 2.0 * nested, .burst = 1};
+  ration.parent = 0;
+  table->quotas.push_back(ration);
   return table;
 }
 
@@ -40,7 +40,7 @@
 
 // ---- A purse ----------------------------------------------------------------------------------------------
 
-Wallet::Wallet(std::shared_ptr<const rations::Table> table, std::uint64_t nonce, std::uint64_t last)
+Wallet::Wallet(std::shared_ptr<const rations::QuotaTable> table, std::uint64_t nonce, std::uint64_t last)
     : table_(std::move(table)), nonce_(nonce), last_(last) {
   Do([](rations::Purse&) { return true; });
 }
@@ -59,7 +59,7 @@
 
 bool Wallet::Request(int now, bool inside) {
   if (beside_ > 0) return beside_-- > 0;
-  rations::Asked asked;
+  rations::RequestAttributes asked;
   asked.tenant = inside ? 0 : 1;
   return Do([now, asked](rations::Purse& purse) { return purse.Take(At(now), asked).within; });
 }
@@ -97,7 +97,8 @@
     router.kept->Put(bytes);
     if (router.kept->keeper() != nullptr) {
       add(std::bit_cast<std::uint64_t>(router.kept->keeper()->Level(OneChain().root())));
-      if (nested) add(std::bit_cast<std::uint64_t>(router.kept->keeper()->Level({.ration = 1, .of = 0})));
+      if (nested)
+        add(std::bit_cast<std::uint64_t>(router.kept->keeper()->Level({.quota = 1, .key_hash = 0})));
     }
   }
   add(router.pending.size());
--- a/tests/orders/rations_router.h
+++ b/tests/orders/rations_router.h
@@ -65,10 +65,10 @@
 
 inline rations::Time At(int tick) { return tick * std::chrono::milliseconds(250); }
 // Of a token a tick; `nested`: with one inside, for tenant 0.
-std::shared_ptr<const rations::Table> RationsOf(int burst, int nested);
+std::shared_ptr<const rations::QuotaTable> RationsOf(int burst, int nested);
 
-inline rations::Chain OneChain() {
-  rations::Chain chain;
+inline rations::BucketPath OneChain() {
+  rations::BucketPath chain;
   chain.size = 1;
   return chain;
 }
@@ -90,7 +90,7 @@
 class Wallet {
  public:
   // `last`: the former wallet's.
-  Wallet(std::shared_ptr<const rations::Table> table, std::uint64_t nonce, std::uint64_t last = 0);
+  Wallet(std::shared_ptr<const rations::QuotaTable> table, std::uint64_t nonce, std::uint64_t last = 0);
   bool Request(int now, bool inside);  // true: within
   bool due(int now) const { return purse_->NextDue().value_or(rations::Time::max()) <= At(now); }
   bool out() const { return out_; }  // a draw
@@ -111,7 +111,7 @@
   using Call = std::function<bool(rations::Purse&)>;
   bool Do(Call call);
 
-  std::shared_ptr<const rations::Table> table_;
+  std::shared_ptr<const rations::QuotaTable> table_;
   std::uint64_t nonce_, last_;
   std::vector<std::shared_ptr<const Call>> calls_;
   int beside_ = 0;
@@ -176,7 +176,7 @@
 
 class Step {
  public:
-  Step(const RationsSetup& setup, std::shared_ptr<const rations::Table> table, int now, Router router)
+  Step(const RationsSetup& setup, std::shared_ptr<const rations::QuotaTable> table, int now, Router router)
       : setup_(setup), table_(std::move(table)), now_(now), router_(std::move(router)) {}
   Did Do(Act act, std::uint64_t of, const Parcel* parcel);
 
@@ -194,7 +194,7 @@
   void Tick();
 
   const RationsSetup& setup_;
-  std::shared_ptr<const rations::Table> table_;
+  std::shared_ptr<const rations::QuotaTable> table_;
   int now_;
   Router router_;
   std::vector<Fence::To> out_;
--- a/tests/orders/rations_town.h
+++ b/tests/orders/rations_town.h
@@ -57,7 +57,7 @@
   };
   struct World {  // of all states
     RationsSetup setup;
-    std::shared_ptr<const rations::Table> table;
+    std::shared_ptr<const rations::QuotaTable> table;
     mutable Memo<Did> did{1u << 14};
     mutable Memo<Answered> answered{1u << 14};
     mutable Memo<bool> tells{1u << 15};
--- a/tests/rations/fleet_test.cpp
+++ b/tests/rations/fleet_test.cpp
@@ -80,7 +80,7 @@
   FleetWorld world(setup);
   world.routes_differ = routes_differ;
   Time until = large ? 61s : 401s;
-  double rate = 5 * setup.pace.rate;
+  double rate = 5 * setup.pace.per_second;
   // It comes and goes: buckets get full, and are emptied at once.
   for (Time at = 1s; at < until; at += 8s) {
     world.agenda().At(at, [&world, rate, at, seed] {
--- a/tests/rations/fleet_world.h
+++ b/tests/rations/fleet_world.h
@@ -25,7 +25,7 @@
   std::uint64_t seed = 1;
   double loss = 0.05, duplicate = 0.05;
   Span notice = 1200ms;  // a death or a stall, until it is known
-  Pace pace{1000, 1000};
+  TokenRate pace{1000, 1000};
   bool hard = true;
 };
 
@@ -33,13 +33,13 @@
  public:
   explicit FleetWorld(FleetSetup setup)
       : setup_(setup), random_(setup.seed, 5), seats_(Names(setup.routers)) {
-    auto table = std::make_shared<Table>();
-    table->print = 1;
-    Ration all;
-    all.pace = setup.pace;
+    auto table = std::make_shared<QuotaTable>();
+    table->fingerprint = 1;
+    Quota all;
+    all.rate = setup.pace;
     all.hard = setup.hard;
-    table->rations.push_back(all);
-    table->Index(1, 1);
+    table->quotas.push_back(all);
+    table->BuildIndex(1, 1);
     table_ = table;
     serving_.resize(setup.routers);
     for (std::size_t r = 0; r < setup.routers; ++r) Start(r);
@@ -133,7 +133,7 @@
   };
   Judged Judge(Span window) const {
     Judged judged;
-    double ahead = std::max(1.0, std::min(setup_.pace.rate * 0.1, setup_.pace.burst));
+    double ahead = std::max(1.0, std::min(setup_.pace.per_second * 0.1, setup_.pace.burst));
     std::size_t end = 0;
     for (std::size_t i = 0; i < admitted_.size(); ++i) {
       Time from = admitted_[i], to = from + window;
@@ -142,7 +142,7 @@
         return one->began <= to && (one->office || one->ended >= from);
       });
       double beyond =
-          static_cast<double>(end - i) - setup_.pace.burst - setup_.pace.rate * world::Seconds(window);
+          static_cast<double>(end - i) - setup_.pace.burst - setup_.pace.per_second * world::Seconds(window);
       ++judged.windows;
       judged.over += beyond > ahead * static_cast<double>(processes) + 1e-6 ? 1 : 0;
       judged.most = std::max(judged.most, beyond / (ahead * static_cast<double>(processes)));
@@ -196,7 +196,7 @@
     auto& [tokens, at] = shares_[r];
     double routers = static_cast<double>(size());
     tokens = std::min(std::max(1.0, setup_.pace.burst / routers),
-                      tokens + setup_.pace.rate / routers * world::Seconds(now() - at));
+                      tokens + setup_.pace.per_second / routers * world::Seconds(now() - at));
     at = now();
     if (tokens < 1) return;
     tokens -= 1;
@@ -230,7 +230,7 @@
       On(process, [this, process] {
         Process& one = *processes_[process];
         one.armed = Time::max();
-        one.office->Tick(Local(process), Local(process) / 1s, kNoSign);
+        one.office->Tick(Local(process), Local(process) / 1s, kNoCondition);
         Flush(process);
       });
     });
@@ -275,7 +275,7 @@
   world::Agenda agenda_{1s};
   world::Random random_;
   failover::ReplicaSet seats_;
-  std::shared_ptr<const Table> table_;
+  std::shared_ptr<const QuotaTable> table_;
   std::vector<std::unique_ptr<Process>> processes_;
   std::vector<std::size_t> serving_;
   std::set<std::pair<std::size_t, std::size_t>> cuts_;
--- a/tests/rations/hard_cases_test.cpp
+++ b/tests/rations/hard_cases_test.cpp
@@ -15,7 +15,7 @@
   rig.Pause(50ms);
   auto cut = Clock::now();
   rig.Pause(1s);
-  CHECK(rig.crowd().Admitted(cut) <= AheadOf(kEven));
+  CHECK(rig.crowd().Admitted(cut) <= CreditLimit(kEven));
   rig.SplitInThree(false);
   CHECK(rig.Flows(50, 2s));
   rig.CheckBound(kEven, 5);
@@ -45,7 +45,7 @@
 
 // Requests are out at the member all the time, so some are out while their router changes books.
 TEST_CASE("rations books: another book half told; each book's own bound holds, and who waits is answered") {
-  const Pace less{50, 10};
+  const TokenRate less{50, 10};
   Rig rig(5, BookOf(kEven), 3, 5, 12);
   rig.crowd().TakeLong(400ms);
   rig.crowd().LetAll(10ms);
@@ -73,8 +73,8 @@
   }
   CHECK(waited > 0);
   CHECK(under_less.size() >= 40);
-  CHECK(MostAbove(under_former, kEven.rate, kEven.burst, 5 * AheadOf(kEven)) <= 1);
-  CHECK(MostAbove(under_less, less.rate, less.burst, 5 * AheadOf(less)) <= 1);
+  CHECK(MostAbove(under_former, kEven.per_second, kEven.burst, 5 * CreditLimit(kEven)) <= 1);
+  CHECK(MostAbove(under_less, less.per_second, less.burst, 5 * CreditLimit(less)) <= 1);
 }
 
 TEST_CASE("rations back: clients that all ask at once and come back when they are told to are all served") {
@@ -87,7 +87,7 @@
   auto from = Clock::now();
   std::uint64_t told = rig.crowd().told();
   rig.Pause(1s);
-  CHECK(static_cast<double>(rig.crowd().Admitted(from)) >= 0.8 * kEven.rate);
+  CHECK(static_cast<double>(rig.crowd().Admitted(from)) >= 0.8 * kEven.per_second);
   MESSAGE("told to come back for each admitted: ",
           static_cast<double>(rig.crowd().told() - told) / static_cast<double>(rig.crowd().Admitted(from)));
   rig.CheckBound(kEven, 5);
--- a/tests/rations/office_test.cpp
+++ b/tests/rations/office_test.cpp
@@ -8,8 +8,8 @@
 
 #include "doctest/doctest.h"
 #include "peers/message.h"
-#include "rations/books.h"
 #include "rations/kept.h"
+#include "rations/quota_table_test_util.h"
 #include "rations/wire.h"
 
 namespace peatbend::rations {
@@ -21,9 +21,9 @@
 // ---- A shard that is kept ---------------------------------------------------------------------------------
 
 struct Kept3 {
-  Table table = TableOf({Of({10, 100})});
+  QuotaTable table = TableOf({Of({10, 100})});
   std::vector<Fence::To> out;
-  Kept kept{ShardOf(table.ChainOf(By(0))), Go{1, "k", 3, 1}, 0s, out};
+  Kept kept{ShardOf(table.BucketPathOf(By(0))), Go{1, "k", 3, 1}, 0s, out};
   std::vector<Seat> seats{Seat(11), Seat(12), Seat(13)};
   Kept3() {
     Carry();
@@ -36,11 +36,11 @@
   Message Draw(std::uint64_t number, std::uint32_t want, std::uint64_t drawer = 5) {
     Message draw;
     draw.kind = MessageKind::kDraw;
-    draw.shard = ShardOf(table.ChainOf(By(0)));
+    draw.shard = ShardOf(table.BucketPathOf(By(0)));
     draw.number = number;
     draw.drawer = drawer;
-    draw.print = table.print;
-    draw.entries = {Want(table.ChainOf(By(0)), want)};
+    draw.print = table.fingerprint;
+    draw.entries = {Want(table.BucketPathOf(By(0)), want)};
     return draw;
   }
 };
@@ -50,7 +50,7 @@
     "one") {
   Kept3 at;
   CHECK_FALSE(at.kept.Draw(1s, "a", at.Draw(2, 4)));
-  CHECK(at.kept.Turn(1s, 0, kNoSign, at.out) == 4);
+  CHECK(at.kept.Turn(1s, 0, kNoCondition, at.out) == 4);
   CHECK(at.kept.Confirmed().empty());
   CHECK_FALSE(at.kept.Draw(1s, "a", at.Draw(2, 4)));
   at.Carry();
@@ -62,18 +62,18 @@
   REQUIRE(again);
   CHECK(*again == told[0].message);
   CHECK_FALSE(at.kept.Draw(2s, "a", at.Draw(1, 4)));
-  CHECK(at.kept.Turn(2s, 0, kNoSign, at.out) == 0);
+  CHECK(at.kept.Turn(2s, 0, kNoCondition, at.out) == 0);
 }
 
 TEST_CASE("kept: under another book a draw that was answered is not reckoned again, and no other is lost") {
   Kept3 at;
   at.kept.Draw(1s, "a", at.Draw(1, 10));
-  CHECK(at.kept.Turn(1s, 0, kNoSign, at.out) == 10);
+  CHECK(at.kept.Turn(1s, 0, kNoCondition, at.out) == 10);
   at.kept.SetTable(at.table, {}, 1s, 0);
   at.kept.Draw(2s, "a", at.Draw(1, 10));
-  CHECK(at.kept.Turn(2s, 0, kNoSign, at.out) == 0);
+  CHECK(at.kept.Turn(2s, 0, kNoCondition, at.out) == 0);
   at.kept.Draw(2s, "a", at.Draw(2, 4));
-  CHECK(at.kept.Turn(2s, 0, kNoSign, at.out) == 4);
+  CHECK(at.kept.Turn(2s, 0, kNoCondition, at.out) == 4);
 }
 
 TEST_CASE("kept: who has been promised another go's seats hands out nothing") {
@@ -85,7 +85,7 @@
     ask.go = {2, "z", 1, 1};
     CHECK(at.seats[seat].Take(ask).kind == MessageKind::kPromise);
   }
-  at.kept.Turn(1s, 0, kNoSign, at.out);
+  at.kept.Turn(1s, 0, kNoCondition, at.out);
   at.Carry();
   CHECK(at.kept.Confirmed().empty());
   CHECK_FALSE(at.kept.keeping());
@@ -94,7 +94,7 @@
 // ---- Offices ----------------------------------------------------------------------------------------------
 
 struct Three {
-  std::shared_ptr<const Table> table;
+  std::shared_ptr<const QuotaTable> table;
   std::vector<std::unique_ptr<Office>> offices;
   explicit Three(std::uint64_t print) : table(Book(print)) {
     failover::ReplicaSet seats({{"a", "x"}, {"b", "y"}, {"c", "z"}});
@@ -102,10 +102,10 @@
       offices.push_back(std::make_unique<Office>(OfficeOptions{}, seats, Name(i), i + 1, i, table, 0s,
                                                  [](const std::string&) { return true; }));
   }
-  static std::shared_ptr<const Table> Book(std::uint64_t print) {
-    Table made = TableOf({Of({100, 100})});
-    made.print = print;
-    return std::make_shared<const Table>(made);
+  static std::shared_ptr<const QuotaTable> Book(std::uint64_t print) {
+    QuotaTable made = TableOf({Of({100, 100})});
+    made.fingerprint = print;
+    return std::make_shared<const QuotaTable>(made);
   }
   static std::string Name(std::size_t i) { return std::string(1, static_cast<char>('a' + i)); }
   // All that is said arrives, a millisecond later.
@@ -113,7 +113,7 @@
     for (Time now = from; now < to; now += 1ms) {
       std::vector<std::pair<std::string, Out>> said;
       for (std::size_t i = 0; i < 3; ++i) {
-        if (offices[i]->Due() && *offices[i]->Due() <= now) offices[i]->Tick(now, 0, kNoSign);
+        if (offices[i]->Due() && *offices[i]->Due() <= now) offices[i]->Tick(now, 0, kNoCondition);
         for (Out& out : offices[i]->TakeOut()) said.emplace_back(Name(i), std::move(out));
       }
       for (auto& [sender, out] : said)
@@ -149,7 +149,7 @@
   at.offices[0] = std::make_unique<Office>(options, seats, "a", 9, 9, at.table, 0s,
                                            [](const std::string&) { return true; });
   Message ask;
-  ask.shard = ShardOf(at.table->ChainOf(By(0)));
+  ask.shard = ShardOf(at.table->BucketPathOf(By(0)));
   ask.go = Go{1, "b", 7, 1};
   at.offices[0]->Take(0s, "b", ask);
   CHECK(at.offices[0]->TakeOut().empty());
@@ -200,7 +200,8 @@
   bool on = true;
   words >> rate >> clients >> seats >> seconds >> on;
   double each = std::max(1.0, 15 * rate / static_cast<double>(clients));
-  auto table = std::make_shared<const Table>(TableOf({Of({each, std::max(10.0, 2 * each)}, -1, kPerClient)}));
+  auto table =
+      std::make_shared<const QuotaTable>(TableOf({Of({each, std::max(10.0, 2 * each)}, -1, kPerClient)}));
   std::vector<failover::ReplicaName> names;
   auto name = [](std::size_t i) { return "r" + std::to_string(i); };
   for (std::size_t i = 0; i < seats; ++i) names.push_back({name(i), "a"});
@@ -226,7 +227,7 @@
     }
   };
   auto turn = [&](std::size_t i, Time now) {
-    if (offices[i]->Due().value_or(Time::max()) <= now) offices[i]->Tick(now, 0, kNoSign);
+    if (offices[i]->Due().value_or(Time::max()) <= now) offices[i]->Tick(now, 0, kNoCondition);
     flush(i, now);
   };
   for (Time now{}; now < std::chrono::seconds(seconds); now += 250us) {
--- a/tests/rations/parts_test.cpp
+++ b/tests/rations/parts_test.cpp
@@ -4,9 +4,9 @@
 #include <map>
 
 #include "doctest/doctest.h"
-#include "rations/books.h"
 #include "rations/keeper.h"
 #include "rations/purse.h"
+#include "rations/quota_table_test_util.h"
 
 namespace peatbend::rations {
 namespace {
@@ -15,89 +15,89 @@
 using namespace test;
 
 TEST_CASE("table: a request counts in the ration furthest inside and in those around it") {
-  Ration all = Of({100, 10}), writes = Of({10, 5}, 0, kPerTenant),
-         gold = Of({5, 5}, 1, kPerClient | kPerKeyGroup);
-  writes.kind = Kind::kWrites;
-  gold.kind = Kind::kWrites;
+  Quota all = Of({100, 10}), writes = Of({10, 5}, 0, kPerTenant),
+        gold = Of({5, 5}, 1, kPerClient | kPerKeyPrefix);
+  writes.access = AccessKind::kWrites;
+  gold.access = AccessKind::kWrites;
   gold.tenants = {1};
-  gold.key_group = 2;
-  Table table = TableOf({all, writes, gold});
-  CHECK(table.ChainOf(By(1)).size == 1);
-  Asked write = By(1, 9, "abX");
+  gold.key_prefix_length = 2;
+  QuotaTable table = TableOf({all, writes, gold});
+  CHECK(table.BucketPathOf(By(1)).size == 1);
+  RequestAttributes write = By(1, 9, "abX");
   write.write = true;
-  Chain chain = table.ChainOf(write);
+  BucketPath chain = table.BucketPathOf(write);
   CHECK(chain.size == 3);
-  CHECK(chain.buckets[0].ration == 2);
+  CHECK(chain.buckets[0].quota == 2);
   CHECK(chain.root() == Bucket{0, 0});
-  Asked same = write, client = write, other = write;
+  RequestAttributes same = write, client = write, other = write;
   same.key = "abY";
   other.key = "acX";
   client.client = 8;
-  CHECK(table.ChainOf(same) == chain);
-  CHECK(table.ChainOf(other).buckets[0] != chain.buckets[0]);
-  CHECK(table.ChainOf(client).buckets[0] != chain.buckets[0]);
-  CHECK(table.ChainOf(client).buckets[1] == chain.buckets[1]);
+  CHECK(table.BucketPathOf(same) == chain);
+  CHECK(table.BucketPathOf(other).buckets[0] != chain.buckets[0]);
+  CHECK(table.BucketPathOf(client).buckets[0] != chain.buckets[0]);
+  CHECK(table.BucketPathOf(client).buckets[1] == chain.buckets[1]);
   // The same without the index, and beyond it.
-  Table bare = table;
-  bare.Index(0, 0);
+  QuotaTable bare = table;
+  bare.BuildIndex(0, 0);
   for (int tenant = -1; tenant < 5; ++tenant) {
     write.tenant = tenant;
-    CHECK(bare.ChainOf(write) == table.ChainOf(write));
+    CHECK(bare.BucketPathOf(write) == table.BucketPathOf(write));
   }
 }
 
 TEST_CASE("table: the first change that holds counts") {
-  Ration one = Of({100, 10});
-  one.changes = {{10, 20, kOriginStrained, {5, 1}}, {0, 20, kNoSign, {50, 30}}};
-  Table table = TableOf({one});
-  CHECK(table.PaceAt(0, 15, kOriginStrained) == Pace{5, 1});
-  CHECK(table.PaceAt(0, 15, kZoneLost) == Pace{50, 30});
-  CHECK(table.PaceAt(0, 20, kNoSign) == Pace{100, 10});
-  CHECK(table.Most(0) == Pace{100, 30});
-  CHECK(AheadOf({100, 5}) == 5);
-  CHECK(AheadOf({2, 50}) == 1);
+  Quota one = Of({100, 10});
+  one.overrides = {{10, 20, kOriginOverloaded, {5, 1}}, {0, 20, kNoCondition, {50, 30}}};
+  QuotaTable table = TableOf({one});
+  CHECK(table.RateAt(0, 15, kOriginOverloaded) == TokenRate{5, 1});
+  CHECK(table.RateAt(0, 15, kZoneLost) == TokenRate{50, 30});
+  CHECK(table.RateAt(0, 20, kNoCondition) == TokenRate{100, 10});
+  CHECK(table.MaxRate(0) == TokenRate{100, 30});
+  CHECK(CreditLimit({100, 5}) == 5);
+  CHECK(CreditLimit({2, 50}) == 1);
 }
 
 struct Kept2 {
-  Table table;
+  QuotaTable table;
   Keeper keeper;
-  explicit Kept2(std::vector<Ration> rations, KeeperLimits limits = {})
+  explicit Kept2(std::vector<Quota> rations, KeeperLimits limits = {})
       : table(TableOf(std::move(rations))), keeper(table, limits, 100s, 0) {}
-  std::uint32_t Draw(const Asked& asked, std::uint32_t want) {
-    return keeper.Draw({Want(table.ChainOf(asked), want)})[0].want;
+  std::uint32_t Draw(const RequestAttributes& asked, std::uint32_t want) {
+    return keeper.Draw({Want(table.BucketPathOf(asked), want)})[0].want;
   }
 };
 
 TEST_CASE("keeper: a bucket begins empty, fills with time, and holds its burst") {
   Kept2 at({Of({10, 5})});
   CHECK(at.Draw(By(0), 9) == 0);
-  at.keeper.SetTime(100s + 250ms, 0, kNoSign);
+  at.keeper.SetTime(100s + 250ms, 0, kNoCondition);
   CHECK(at.Draw(By(0), 9) == 2);
-  at.keeper.SetTime(200s, 0, kNoSign);
+  at.keeper.SetTime(200s, 0, kNoCondition);
   CHECK(at.Draw(By(0), 9) == 5);
-  auto lacks = at.keeper.Draw({Want(at.table.ChainOf(By(0)), 3)})[0];
+  auto lacks = at.keeper.Draw({Want(at.table.BucketPathOf(By(0)), 3)})[0];
   CHECK(lacks.want == 0);
   CHECK(lacks.wait_ms >= 100);
 }
 
 TEST_CASE("keeper: follows what the fleet sees, from then on") {
-  Ration one = Of({10, 50});
-  one.changes = {{INT64_MIN, INT64_MAX, kOriginStrained, {2, 8}}};
+  Quota one = Of({10, 50});
+  one.overrides = {{INT64_MIN, INT64_MAX, kOriginOverloaded, {2, 8}}};
   Kept2 at({one});
-  at.keeper.SetTime(102s, 0, kOriginStrained);
+  at.keeper.SetTime(102s, 0, kOriginOverloaded);
   CHECK(at.Draw(By(0), 99) == 8);
-  at.keeper.SetTime(103s, 0, kNoSign);
+  at.keeper.SetTime(103s, 0, kNoCondition);
   CHECK(at.Draw(By(0), 99) == 2);
-  at.keeper.SetTime(104s, 0, kOriginStrained);
+  at.keeper.SetTime(104s, 0, kOriginOverloaded);
   CHECK(at.Draw(By(0), 99) == 8);
 }
 
 TEST_CASE("keeper: a token counts in its own bucket alone, and each around it pays its own") {
   Kept2 at({Of({10, 10}), Of({8, 8}, 0, kPerClient)});
-  at.keeper.SetTime(200s, 0, kNoSign);
+  at.keeper.SetTime(200s, 0, kNoCondition);
   CHECK(at.Draw(By(0, 1), 20) == 8);
   CHECK(at.Draw(By(0, 2), 20) == 8);
-  Chain above = Above(at.table.ChainOf(By(0, 1)));
+  BucketPath above = Above(at.table.BucketPathOf(By(0, 1)));
   CHECK(at.keeper.Draw({Want(above, 20)})[0].want == 10);
 }
 
@@ -105,19 +105,19 @@
   auto lent = Of({1, 2}, 0);
   lent.borrows = true;
   Kept2 at({Of({100, 100}), lent});
-  at.keeper.SetTime(200s, 0, kNoSign);
+  at.keeper.SetTime(200s, 0, kNoCondition);
   CHECK(at.Draw(By(0), 90) == 90);
   CHECK(at.keeper.Level({1, 0}) == 0);
-  CHECK(at.keeper.Draw({Want(Above(at.table.ChainOf(By(0))), 50)})[0].want == 50);
+  CHECK(at.keeper.Draw({Want(Above(at.table.BucketPathOf(By(0))), 50)})[0].want == 50);
   CHECK(at.Draw(By(0), 90) == 0);
-  at.keeper.SetTime(201s, 0, kNoSign);
+  at.keeper.SetTime(201s, 0, kNoCondition);
   CHECK(at.Draw(By(0), 1'000'000'000) == 1'000'000'000);
 }
 
 TEST_CASE("keeper: what is scarce is dealt round among the drawers of one turn") {
   Kept2 at({Of({1, 100})});
-  at.keeper.SetTime(300s, 0, kNoSign);
-  Chain chain = at.table.ChainOf(By(0));
+  at.keeper.SetTime(300s, 0, kNoCondition);
+  BucketPath chain = at.table.BucketPathOf(By(0));
   auto answers = at.keeper.DrawAll({{Want(chain, 500)}, {Want(chain, 10)}, {Want(chain, 500)}});
   CHECK(answers[1][0].want == 10);
   CHECK(answers[0][0].want + answers[2][0].want == 90);
@@ -126,18 +126,18 @@
 
 TEST_CASE("keeper: beyond its room buckets share one, and none has more by it, then or later") {
   Kept2 at({Of({1, 10}, -1, kPerClient)}, {.buckets = 2});
-  at.keeper.SetTime(200s, 0, kNoSign);
+  at.keeper.SetTime(200s, 0, kNoCondition);
   for (std::uint64_t client : {1, 2}) CHECK(at.Draw(By(0, client), 6) == 6);
   CHECK(at.Draw(By(0, 3), 6) == 6);
   CHECK(at.Draw(By(0, 4), 6) == 4);
   CHECK(at.keeper.buckets() == 2);
-  at.keeper.SetTime(206s, 0, kNoSign);
+  at.keeper.SetTime(206s, 0, kNoCondition);
   at.keeper.Forget();
   // One and two are full again and the shared one is not: they may be forgotten, and whoever comes has what
   // is shared.
   CHECK(at.keeper.buckets() == 0);
   CHECK(at.Draw(By(0, 3), 20) == 6);
-  at.keeper.SetTime(400s, 0, kNoSign);
+  at.keeper.SetTime(400s, 0, kNoCondition);
   at.keeper.Forget();
   CHECK(at.Draw(By(0, 3), 20) == 10);
 }
@@ -145,18 +145,18 @@
 // ---- The purse --------------------------------------------------------------------------------------------
 
 struct Purse2 {
-  Table table;
+  QuotaTable table;
   Purse::Options options;
   Purse purse;
   std::vector<Message> draws;
-  explicit Purse2(std::vector<Ration> rations, Purse::Options given = {})
+  explicit Purse2(std::vector<Quota> rations, Purse::Options given = {})
       : table(TableOf(std::move(rations))), options(given), purse(table, options, 5, 1, 0s) {}
   std::vector<Message> Due(Time now) {
     draws.clear();
     purse.Due(now, draws);
     return draws;
   }
-  int Within(Time now, int times, const Asked& asked) {
+  int Within(Time now, int times, const RequestAttributes& asked) {
     int within = 0;
     for (int i = 0; i < times; ++i) within += purse.Take(now, asked).within ? 1 : 0;
     return within;
@@ -205,14 +205,14 @@
   CHECK(at.Within(3s, 50, By(0)) == 10);
 }
 
-// Never more than released and AheadOf together, of any bucket, in any order of requests and grants.
+// Never more than released and CreditLimit together, of any bucket, in any order of requests and grants.
 TEST_CASE("purse: each bucket pays for itself, and none owes more than one process may be ahead") {
   Purse2 at({Of({60, 100}), Of({1000, 1000}, 0, kPerClient)});
   std::map<Bucket, std::uint64_t> paid, had;
   for (int turn = 0; turn < 400; ++turn) {
     Time now = 1s + turn * 12ms;
     for (int i = 0; i < 50; ++i) {
-      Chain chain = at.table.ChainOf(By(0, i % 5));
+      BucketPath chain = at.table.BucketPathOf(By(0, i % 5));
       if (!at.purse.Take(now, By(0, i % 5)).within) continue;
       for (std::size_t k = 0; k < chain.size; ++k) ++had[chain.buckets[k]];
     }
@@ -226,7 +226,7 @@
     }
     for (const auto& [bucket, count] : had) {
       CHECK(at.purse.owed(bucket) == count - paid[bucket]);
-      CHECK(at.purse.owed(bucket) <= AheadOf(at.table.rations[bucket.ration].pace));
+      CHECK(at.purse.owed(bucket) <= CreditLimit(at.table.quotas[bucket.quota].rate));
     }
   }
   CHECK(paid[Bucket{0, 0}] > 50);
@@ -264,19 +264,19 @@
 }
 
 TEST_CASE("purse: alone, soft rations do as they say and hard ones are over") {
-  for (auto [hard, alone, least, most] : {std::tuple{true, Alone::kOpen, 0, 0},
-                                          {false, Alone::kReject, 0, 0},
-                                          {false, Alone::kOwnShare, 9, 11},
-                                          {false, Alone::kOpen, 100, 100}}) {
-    Ration ration = Of({100, 50});
+  for (auto [hard, alone, least, most] : {std::tuple{true, WhenUnreachable::kAdmit, 0, 0},
+                                          {false, WhenUnreachable::kReject, 0, 0},
+                                          {false, WhenUnreachable::kOwnShare, 9, 11},
+                                          {false, WhenUnreachable::kAdmit, 100, 100}}) {
+    Quota ration = Of({100, 50});
     ration.hard = hard;
-    ration.alone = alone;
+    ration.when_unreachable = alone;
     Purse::Options options;
     options.routers = 10;
     Purse2 at({ration}, options);
     CHECK(at.Within(1s, 11, By(0)) == 10);
     at.Due(1s);
-    CHECK_FALSE(at.purse.alone(1s + 299ms, ShardOf(at.table.ChainOf(By(0)))));
+    CHECK_FALSE(at.purse.alone(1s + 299ms, ShardOf(at.table.BucketPathOf(By(0)))));
     int within = 0;
     for (int i = 0; i < 100; ++i) within += at.purse.Take(1s + 300ms + i * 10ms, By(0)).within ? 1 : 0;
     CHECK(within >= least);
@@ -294,7 +294,7 @@
   CHECK(at.purse.buckets() == 2);
   for (Message draw : at.Due(1s)) {
     draw.kind = MessageKind::kGrant;
-    for (Entry& entry : draw.entries) entry.want = entry.chain == at.table.ChainOf(By(0, 1)) ? 10 : 9;
+    for (Entry& entry : draw.entries) entry.want = entry.chain == at.table.BucketPathOf(By(0, 1)) ? 10 : 9;
     CHECK(at.purse.Take(1s, draw));
   }
   CHECK(at.purse.Take(1s, By(0, 3)).within);
--- a/tests/rations/process_rig.h
+++ b/tests/rations/process_rig.h
@@ -17,7 +17,7 @@
 
 #include "processes/peer_fleet.h"
 #include "rations/crowd.h"
-#include "rations/table.h"
+#include "rations/quota_table.h"
 
 namespace peatbend::rations::test {
 
@@ -37,11 +37,11 @@
 inline std::string BookOf(const std::string& statements) {
   return "book reads 1\nration all {\n  counts everything;\n  " + statements + "\n}\n";
 }
-inline std::string BookOf(const Pace& pace, const std::string& more = "hard;") {
-  return BookOf(fmt::format("rate {} a second; burst {}; {}", pace.rate, pace.burst, more));
+inline std::string BookOf(const TokenRate& pace, const std::string& more = "hard;") {
+  return BookOf(fmt::format("rate {} a second; burst {}; {}", pace.per_second, pace.burst, more));
 }
 
-inline const Pace kEven{100, 20};  // of most books here
+inline const TokenRate kEven{100, 20};  // of most books here
 
 class Rig {
  public:
@@ -136,7 +136,7 @@
   }
   // What was asked since `from` and admitted, against what is promised for so many processes. A promise is of
   // one book: a stretch in which books change has the bounds of both.
-  void CheckBound(const Pace& pace, std::size_t processes, Clock::time_point from = {}) {
+  void CheckBound(const TokenRate& pace, std::size_t processes, Clock::time_point from = {}) {
     CheckBound(
         pace, [=](Clock::time_point, Clock::time_point) { return processes; }, from);
   }
@@ -145,7 +145,7 @@
     Clock::time_point begun, ended;
   };
   // The same where processes were replaced: a stretch of time that meets an upgrade has one process more.
-  void CheckBound(const Pace& pace, std::size_t routers, const std::vector<Upgrade>& upgrades) {
+  void CheckBound(const TokenRate& pace, std::size_t routers, const std::vector<Upgrade>& upgrades) {
     auto within = [&](Clock::time_point from, Clock::time_point to) {
       auto met = std::ranges::count_if(
           upgrades, [&](const Upgrade& one) { return one.begun < to && from < one.ended; });
@@ -156,16 +156,16 @@
 
  private:
   // `processes`: how many there were in a stretch of time.
-  void CheckBound(const Pace& pace,
+  void CheckBound(const TokenRate& pace,
                   const std::function<std::size_t(Clock::time_point, Clock::time_point)>& processes,
                   Clock::time_point since) {
     auto all = crowd_->Admissions();
     std::erase_if(all, [&](const Admission& one) { return one.sent < since; });
     CHECK(all.size() > 20);
     auto ahead = [&](Clock::time_point from, Clock::time_point to) {
-      return static_cast<double>(processes(from, to)) * AheadOf(pace);
+      return static_cast<double>(processes(from, to)) * CreditLimit(pace);
     };
-    double above = MostAbove(all, pace.rate, pace.burst, ahead);
+    double above = MostAbove(all, pace.per_second, pace.burst, ahead);
     CHECK_MESSAGE(above <= kSlack, "by ", above, " at the worst, of ", all.size(), " admissions");
   }
 
--- a/tests/rations/processes_test.cpp
+++ b/tests/rations/processes_test.cpp
@@ -10,7 +10,7 @@
 namespace peatbend::rations::test {
 namespace {
 
-const Pace kSaved{20, 60};
+const TokenRate kSaved{20, 60};
 
 // A saved burst of kSaved, half used: whoever gives it again gives too much.
 void UseHalf(Rig& rig) {
@@ -29,7 +29,7 @@
   rig.Pause(2s);
   auto from = Clock::now();
   rig.Pause(3s);
-  CHECK(rig.crowd().Admitted(from) >= 0.95 * 3 * kEven.rate);
+  CHECK(rig.crowd().Admitted(from) >= 0.95 * 3 * kEven.per_second);
   CHECK(rig.crowd().rejected(4) > 300);
   rig.CheckBound(kEven, 5);
 }
@@ -43,7 +43,7 @@
   rig.Pause(50ms);
   auto cut = Clock::now();
   rig.Pause(2s);
-  CHECK(rig.crowd().Admitted(cut) <= 2 * AheadOf(kEven));
+  CHECK(rig.crowd().Admitted(cut) <= 2 * CreditLimit(kEven));
   rig.fleet().Split({3, 4}, {0, 1, 2}, false);
   CHECK(rig.Flows(50, 2s));
   rig.Pause(1s);
@@ -58,7 +58,7 @@
   rig.Pause(50ms);
   auto cut = Clock::now();
   rig.Pause(2s);
-  CHECK(rig.crowd().Admitted(cut) <= 5 * AheadOf(kEven));
+  CHECK(rig.crowd().Admitted(cut) <= 5 * CreditLimit(kEven));
   rig.SplitInThree(false);
   CHECK(rig.Flows(50, 2s));
   rig.Pause(1s);
@@ -167,13 +167,13 @@
   REQUIRE(rig.Flows(50, 5s));
   auto from = Clock::now();
   rig.Pause(4s);
-  CHECK(rig.crowd().Admitted(from) >= 0.5 * 4 * kEven.rate);
+  CHECK(rig.crowd().Admitted(from) >= 0.5 * 4 * kEven.per_second);
   CHECK(rig.fleet().links().counts().lost > 0);
   rig.CheckBound(kEven, 5);
 }
 
 TEST_CASE("rations book: another book at one router, then at all; a faulty one is refused with its place") {
-  const Pace less{50, 10};
+  const TokenRate less{50, 10};
   Rig rig(5, BookOf(kEven), 3, 5);
   rig.crowd().LetAll(10ms);
   REQUIRE(rig.Flows(50, 5s));
@@ -200,8 +200,8 @@
   auto from = Clock::now();
   rig.Pause(3s);
   std::size_t admitted = rig.crowd().Admitted(from);
-  CHECK(static_cast<double>(admitted) <= less.burst + 3.1 * less.rate + 5 * AheadOf(less));
-  CHECK(admitted >= 0.8 * 3 * less.rate);
+  CHECK(static_cast<double>(admitted) <= less.burst + 3.1 * less.per_second + 5 * CreditLimit(less));
+  CHECK(admitted >= 0.8 * 3 * less.per_second);
 }
 
 TEST_CASE("rations upgrade: new processes on the same addresses; the old ones use what is in hand") {
@@ -223,7 +223,7 @@
 }
 
 TEST_CASE("rations upgrade: the book read last holds on when the process that followed is lost") {
-  const Pace less{50, 10};
+  const TokenRate less{50, 10};
   Rig rig(5, BookOf(kEven), 3, 5);
   std::uint64_t former = rig.Figures(4)["rations.book"];
   for (std::size_t i = 0; i < 5; ++i) rig.WriteBook(i, BookOf(less));
@@ -279,19 +279,19 @@
   from = Clock::now();
   rig.Pause(2s);
   admitted = static_cast<double>(rig.crowd().Admitted(from));
-  CHECK(admitted >= 0.8 * 2 * kEven.rate);
-  CHECK(admitted <= kEven.burst + 2.1 * kEven.rate + 5 * AheadOf(kEven));
+  CHECK(admitted >= 0.8 * 2 * kEven.per_second);
+  CHECK(admitted <= kEven.burst + 2.1 * kEven.per_second + 5 * CreditLimit(kEven));
 }
 
-TEST_CASE("rations soft: soft ones without their seats reject") { Soft("reject", 0, 2 * AheadOf(kEven)); }
+TEST_CASE("rations soft: soft ones without their seats reject") { Soft("reject", 0, 2 * CreditLimit(kEven)); }
 TEST_CASE("rations soft: soft ones without their seats admit each router's own share") {
-  double share = kEven.rate / 5 * 2;  // of two seconds, at one router
-  Soft("own share", 2 * 0.8 * share, 2 * (1.1 * share + kEven.burst / 5 + AheadOf(kEven)));
+  double share = kEven.per_second / 5 * 2;  // of two seconds, at one router
+  Soft("own share", 2 * 0.8 * share, 2 * (1.1 * share + kEven.burst / 5 + CreditLimit(kEven)));
 }
-TEST_CASE("rations soft: soft ones without their seats are open") { Soft("open", 4 * kEven.rate, 1e9); }
+TEST_CASE("rations soft: soft ones without their seats are open") { Soft("open", 4 * kEven.per_second, 1e9); }
 
 TEST_CASE("rations clients: each client's own, asked for at all routers at once") {
-  const Pace own{5, 3};
+  const TokenRate own{5, 3};
   Rig rig(5, "book reads 1\nration own { counts each shop; rate 5 a second; burst 3; hard; }\n");
   rig.crowd().LetAll(20ms);
   rig.Pause(4s);
@@ -300,8 +300,8 @@
     std::vector<Admission> its;
     std::ranges::copy_if(all, std::back_inserter(its),
                          [&](const Admission& one) { return one.client == client; });
-    CHECK(its.size() >= 0.7 * 4 * own.rate);
-    CHECK(MostAbove(its, own.rate, own.burst, 5 * AheadOf(own)) <= 1);
+    CHECK(its.size() >= 0.7 * 4 * own.per_second);
+    CHECK(MostAbove(its, own.per_second, own.burst, 5 * CreditLimit(own)) <= 1);
   }
 }
 
--- a/tests/rations/book_refusals_test.cpp
+++ b/tests/rations/quota_config_errors_test.cpp
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "rations/book_shop.h"
+#include "rations/quota_config_test_util.h"
 
 using namespace peatbend::rations::test;
 
--- a/tests/rations/book_shop.h
+++ b/tests/rations/quota_config_test_util.h
@@ -5,7 +5,7 @@
 
 #include <string>
 
-#include "rations/book.h"
+#include "rations/quota_config.h"
 
 namespace peatbend::rations::test {
 
@@ -17,17 +17,17 @@
   return settings;
 }
 
-inline Table Read(const std::string& text) { return ReadBook(text, Shop(), "b"); }
+inline QuotaTable Read(const std::string& text) { return ParseQuotaConfig(text, Shop(), "b"); }
 
 // The faults, each "LINE:COLUMN: what", a line each; empty for a good book.
 inline std::string FaultsOf(const std::string& text) {
   try {
     Read(text);
     return "";
-  } catch (const BookRefused& refused) {
+  } catch (const InvalidQuotaConfig& refused) {
     std::string all;
-    for (const BookError& error : refused.errors()) {
-      all += fmt::format("{}{}:{}: {}", all.empty() ? "" : "\n", error.line, error.column, error.what);
+    for (const QuotaConfigError& error : refused.errors()) {
+      all += fmt::format("{}{}:{}: {}", all.empty() ? "" : "\n", error.line, error.column, error.message);
     }
     return all;
   }
--- a/tests/rations/wire_test.cpp
+++ b/tests/rations/wire_test.cpp
@@ -35,7 +35,7 @@
     Entry& entry = m.entries.emplace_back();
     entry.want = random.Below(1'000'000'001);
     entry.wait_ms = random.Below(3'600'001);
-    entry.chain.size = static_cast<std::uint8_t>(1 + random.Below(kDeepest));
+    entry.chain.size = static_cast<std::uint8_t>(1 + random.Below(kMaxQuotaDepth));
     for (std::size_t i = 0; i < entry.chain.size; ++i)
       entry.chain.buckets[i] = {static_cast<std::uint32_t>(Number(random)), Number(random)};
   }
@@ -107,7 +107,7 @@
         REQUIRE(m.go.router.size() <= 64);
         for (const Entry& entry : m.entries) {
           REQUIRE(entry.chain.size >= 1);
-          REQUIRE(entry.chain.size <= kDeepest);
+          REQUIRE(entry.chain.size <= kMaxQuotaDepth);
         }
       }
     }
