--- a/src/rations/quota_config.cpp
+++ b/src/rations/quota_config.cpp
@@ -1,5 +1,5 @@
-// From statements to a table: names resolved, what is not said taken from the ration around, days counted
-// out.
+// The compiler from the syntax tree to a QuotaTable: resolves names, inherits selectors from the enclosing
+// quota and expands daily overrides.
 #include "rations/quota_config.h"
 
 #include <fmt/format.h>
@@ -17,237 +17,242 @@
 namespace book {
 namespace {
 
-constexpr int kMostCharacters = 1000;
+constexpr int kMaxKeyPrefixLength = 1000;
 
 class Compiler {
  public:
-  Compiler(const BookText& book, const Settings& settings, Faults& faults)
-      : book_(book),
+  Compiler(const QuotaConfigAst& ast, const Settings& settings, ErrorList& errors)
+      : ast_(ast),
         settings_(settings),
-        faults_(faults),
+        errors_(errors),
         classes_("class", settings.classes),
         tenants_("franchisee", settings.tenants),
-        changes_(book.zone, faults) {}
+        overrides_(ast.time_zone, errors) {}
 
   QuotaTable Compile() {
-    for (std::size_t i = 0; i < book_.rations.size(); ++i) stated_.try_emplace(book_.rations[i].name.text, i);
-    for (std::size_t i = 0; i < book_.rations.size(); ++i) {
+    for (std::size_t i = 0; i < ast_.quotas.size(); ++i)
+      first_definitions_.try_emplace(ast_.quotas[i].name.text, i);
+    for (std::size_t i = 0; i < ast_.quotas.size(); ++i) {
       table_.quotas.emplace_back();
-      places_.emplace_back();
-      std::size_t before = faults_.found;
-      CompileRation(i);
-      whole_.push_back(faults_.found == before);
+      locations_.emplace_back();
+      std::size_t before = errors_.total;
+      CompileQuota(i);
+      error_free_.push_back(errors_.total == before);
     }
-    CheckTable(table_, places_, whole_, settings_, faults_);
-    table_.language_version = book_.reads;
-    for (const RetiredText& one : book_.retired) Retire(one);
+    CheckQuotaTable(table_, locations_, error_free_, settings_, errors_);
+    table_.language_version = ast_.language_version;
+    for (const RetireDefinition& definition : ast_.retired_readers) CompileRetired(definition);
     return std::move(table_);
   }
 
  private:
-  void CompileRation(std::size_t i) {
-    const RationText& text = book_.rations[i];
-    Quota& ration = table_.quotas[i];
-    RationPlaces& places = places_[i];
-    ration.name = text.name.text;
-    places.name = text.name.at;
-    if (std::size_t first = stated_.at(ration.name); first != i) {
-      faults_.Add(places.name,
-                  fmt::format("there is a ration '{}' already, at line {}; another name expected",
-                              ration.name, book_.rations[first].name.at.line));
+  void CompileQuota(std::size_t i) {
+    const QuotaDefinition& definition = ast_.quotas[i];
+    Quota& quota = table_.quotas[i];
+    QuotaLocations& locations = locations_[i];
+    quota.name = definition.name.text;
+    locations.name = definition.name.location;
+    if (std::size_t first = first_definitions_.at(quota.name); first != i) {
+      errors_.Add(locations.name,
+                  fmt::format("ration '{}' is already defined at line {}; another name expected", quota.name,
+                              ast_.quotas[first].name.location.line));
     }
-    if (text.inside) PutInside(i, *text.inside);
-    Said said = Sort(text);
-    auto need = [&](const Statement* statement, const char* word) {
+    if (definition.parent) SetParent(i, *definition.parent);
+    BasicStatements basic = FindBasicStatements(definition);
+    auto require = [&](const Statement* statement, const char* keyword) {
       if (statement != nullptr) return true;
-      faults_.Add(places.name,
-                  fmt::format("'{}' does not say '{}', which is expected of each ration", ration.name, word));
+      errors_.Add(locations.name, fmt::format("'{}' has no '{}' statement, which is expected in each ration",
+                                              quota.name, keyword));
       return false;
     };
-    if (need(said.counts, "counts")) Count(*said.counts, ration);
-    if (need(said.rate, "rate")) {
-      places.pace.rate = said.rate->rate.at;
-      ration.rate.per_second = changes_.Rate(said.rate->rate);
+    if (require(basic.counts, "counts")) CompileSelectors(*basic.counts, quota);
+    if (require(basic.rate, "rate")) {
+      locations.rate.rate = basic.rate->rate.location;
+      quota.rate.per_second = overrides_.CheckedRate(basic.rate->rate);
     }
-    if (need(said.burst, "burst")) {
-      places.pace.burst = said.burst->burst.at;
-      ration.rate.burst = changes_.Burst(said.burst->burst);
+    if (require(basic.burst, "burst")) {
+      locations.rate.burst = basic.burst->burst.location;
+      quota.rate.burst = overrides_.CheckedBurst(basic.burst->burst);
     }
-    if (said.hardness != nullptr && said.hardness->says == Says::kSoft) {
-      ration.hard = false;
-      ration.when_unreachable = said.hardness->alone;
+    if (basic.hardness != nullptr && basic.hardness->kind == StatementKind::kSoft) {
+      quota.hard = false;
+      quota.when_unreachable = basic.hardness->when_unreachable;
     }
-    if (said.over != nullptr) ration.over_limit = said.over->over;
-    ration.borrows = said.borrows != nullptr;
-    if (ration.borrows && !text.inside) {
-      faults_.Add(said.borrows->at,
-                  fmt::format("'{}' is inside no ration, so there is nothing to borrow; 'inside' expected",
-                              ration.name));
+    if (basic.over_limit != nullptr) quota.over_limit = basic.over_limit->over_limit;
+    quota.borrows = basic.borrows != nullptr;
+    if (quota.borrows && !definition.parent) {
+      errors_.Add(
+          basic.borrows->location,
+          fmt::format("'{}' is not inside another ration, so it has nothing to borrow; 'inside' expected",
+                      quota.name));
     }
-    for (const Statement& statement : text.statements) {
-      if (statement.says >= Says::kPeriod && !changes_.Add(statement, ration, places)) break;
+    for (const Statement& statement : definition.statements) {
+      if (statement.kind >= StatementKind::kPeriod && !overrides_.Add(statement, quota, locations)) break;
     }
   }
 
-  void Retire(const RetiredText& one) {
-    auto fits = [&](const Word& word, const char* what) {
-      if (!word.text.empty() && word.text.size() <= kMaxRetiredTextBytes) return;
-      faults_.Add(word.at, fmt::format("{} of 1 to {} bytes expected", what, kMaxRetiredTextBytes));
+  void CompileRetired(const RetireDefinition& definition) {
+    auto check_length = [&](const LocatedText& text, const char* what) {
+      if (!text.text.empty() && text.text.size() <= kMaxRetiredTextBytes) return;
+      errors_.Add(text.location, fmt::format("{} of 1 to {} bytes expected", what, kMaxRetiredTextBytes));
     };
-    fits(one.reader, "the name of a reader");
-    fits(one.why, "a reason");
-    auto same = [&](const RetiredReader& other) { return other.reader == one.reader.text; };
+    check_length(definition.reader, "the name of a reader");
+    check_length(definition.reason, "a reason");
+    auto same = [&](const RetiredReader& other) { return other.reader == definition.reader.text; };
     if (std::ranges::any_of(table_.retired_readers, same))
-      faults_.Add(one.reader.at, fmt::format("reader '{}' is retired above; once expected", one.reader.text));
-    table_.retired_readers.push_back({one.reader.text, one.statement, one.why.text});
+      errors_.Add(definition.reader.location,
+                  fmt::format("reader '{}' is already retired above; once expected", definition.reader.text));
+    table_.retired_readers.push_back({definition.reader.text, definition.statement, definition.reason.text});
   }
 
-  // A ration's statements other than changes; null: not said.
-  struct Said {
+  // The statements of a quota that may occur once; null: absent.
+  struct BasicStatements {
     const Statement *counts = nullptr, *rate = nullptr, *burst = nullptr, *hardness = nullptr,
-                    *borrows = nullptr, *over = nullptr;
+                    *borrows = nullptr, *over_limit = nullptr;
   };
-  Said Sort(const RationText& text) {
-    Said said;
-    auto slot = [&](Says says) -> const Statement*& {
-      switch (says) {
-        case Says::kCounts:
-          return said.counts;
-        case Says::kRate:
-          return said.rate;
-        case Says::kBurst:
-          return said.burst;
-        case Says::kBorrows:
-          return said.borrows;
-        case Says::kOver:
-          return said.over;
+  BasicStatements FindBasicStatements(const QuotaDefinition& definition) {
+    BasicStatements basic;
+    auto slot = [&](StatementKind kind) -> const Statement*& {
+      switch (kind) {
+        case StatementKind::kCounts:
+          return basic.counts;
+        case StatementKind::kRate:
+          return basic.rate;
+        case StatementKind::kBurst:
+          return basic.burst;
+        case StatementKind::kBorrows:
+          return basic.borrows;
+        case StatementKind::kOverLimit:
+          return basic.over_limit;
         default:
-          return said.hardness;
+          return basic.hardness;
       }
     };
-    for (const Statement& statement : text.statements) {
-      if (statement.says >= Says::kPeriod) continue;
-      if (const Statement*& first = slot(statement.says); first == nullptr) {
+    for (const Statement& statement : definition.statements) {
+      if (statement.kind >= StatementKind::kPeriod) continue;
+      if (const Statement*& first = slot(statement.kind); first == nullptr) {
         first = &statement;
       } else {
-        faults_.Add(statement.at, fmt::format("'{}' says this already at line {}; once expected",
-                                              text.name.text, first->at.line));
+        errors_.Add(statement.location,
+                    fmt::format("'{}' has this statement already at line {}; once expected",
+                                definition.name.text, first->location.line));
       }
     }
-    return said;
+    return basic;
   }
 
-  void PutInside(std::size_t i, const Word& inside) {
-    Quota& ration = table_.quotas[i];
-    auto at = stated_.find(inside.text);
-    if (inside.text == ration.name) {
-      faults_.Add(inside.at,
-                  fmt::format("'{}' cannot be inside itself; a ration stated above expected", inside.text));
-    } else if (at == stated_.end()) {
-      std::vector<std::string> above;
-      for (std::size_t n = 0; n < i; ++n) above.push_back(table_.quotas[n].name);
-      faults_.Add(inside.at, UnknownName("ration", inside.text, above));
-    } else if (at->second > i) {
-      faults_.Add(inside.at,
-                  fmt::format("ration '{}' is stated later, at line {}; a ration stated above expected",
-                              inside.text, book_.rations[at->second].name.at.line));
+  void SetParent(std::size_t i, const LocatedText& parent_name) {
+    Quota& quota = table_.quotas[i];
+    auto found = first_definitions_.find(parent_name.text);
+    if (parent_name.text == quota.name) {
+      errors_.Add(
+          parent_name.location,
+          fmt::format("'{}' cannot be inside itself; a ration defined above expected", parent_name.text));
+    } else if (found == first_definitions_.end()) {
+      std::vector<std::string> previous;
+      for (std::size_t n = 0; n < i; ++n) previous.push_back(table_.quotas[n].name);
+      errors_.Add(parent_name.location, UnknownNameMessage("ration", parent_name.text, previous));
+    } else if (found->second > i) {
+      errors_.Add(parent_name.location,
+                  fmt::format("ration '{}' is defined later, at line {}; a ration defined above expected",
+                              parent_name.text, ast_.quotas[found->second].name.location.line));
     } else {
-      ration.parent = static_cast<int>(at->second);
-      const Quota& around = table_.quotas[at->second];
+      quota.parent = static_cast<int>(found->second);
+      const Quota& parent = table_.quotas[found->second];
       std::size_t depth = 1;
-      for (int n = ration.parent; n >= 0; n = table_.quotas[n].parent) ++depth;
+      for (int n = quota.parent; n >= 0; n = table_.quotas[n].parent) ++depth;
       if (depth > kMaxQuotaDepth) {
-        faults_.Add(inside.at,
-                    fmt::format("'{}' would be {} deep; at most {} rations inside each other expected",
-                                ration.name, depth, kMaxQuotaDepth));
-        ration.parent = -1;
+        errors_.Add(parent_name.location,
+                    fmt::format("'{}' would be nested {} deep; at most {} rations inside each other expected",
+                                quota.name, depth, kMaxQuotaDepth));
+        quota.parent = -1;
         return;
       }
-      ration.tenants = around.tenants;
-      ration.classes = around.classes;
-      ration.access = around.access;
-      ration.try_kind = around.try_kind;
-      ration.bucket_key = around.bucket_key;
-      ration.key_prefix_length = around.key_prefix_length;
+      quota.tenants = parent.tenants;
+      quota.classes = parent.classes;
+      quota.access = parent.access;
+      quota.try_kind = parent.try_kind;
+      quota.bucket_key = parent.bucket_key;
+      quota.key_prefix_length = parent.key_prefix_length;
     }
   }
 
-  // What the statement counts must be counted by the ration around too, whose own words `ration` has so far.
-  void Count(const Statement& statement, Quota& ration) {
-    const Counted* met[6] = {};  // everything, kind, turn, classes, tenants, and each of what
-    unsigned each = kSingleBucket;
-    for (const Counted& counted : statement.counted) {
+  // Compiles the `counts` statement. `quota` still has the selectors inherited from its parent, which must
+  // count all of these requests too.
+  void CompileSelectors(const Statement& statement, Quota& quota) {
+    const Selector* seen[6] = {};  // everything, access, try kind, classes, tenants, bucket key
+    unsigned bucket_key = kSingleBucket;
+    for (const Selector& selector : statement.selectors) {
       static constexpr int kSlots[] = {0, 1, 1, 2, 2, 3, 4, 5, 5, 5, 5};
-      int slot = kSlots[static_cast<int>(counted.item)];
+      int slot = kSlots[static_cast<int>(selector.kind)];
       if (slot == 5) {
-        unsigned bit = 1u << (static_cast<int>(counted.item) - static_cast<int>(Item::kEachTenant));
-        if ((each & bit) != 0) {
-          faults_.Add(counted.at, "this is counted each already; once expected");
-        } else if (counted.item == Item::kEachKeyGroup) {
-          SetKeyGroup(counted, ration);
+        unsigned bit = 1u << (static_cast<int>(selector.kind) - static_cast<int>(SelectorKind::kEachTenant));
+        if ((bucket_key & bit) != 0) {
+          errors_.Add(selector.location, "'each' has this attribute already; once expected");
+        } else if (selector.kind == SelectorKind::kEachKeyPrefix) {
+          SetKeyPrefixLength(selector, quota);
         }
-        each |= bit;
+        bucket_key |= bit;
         continue;
       }
-      bool other = met[0] != nullptr || (slot == 0 && (met[1] || met[2] || met[3] || met[4]));
-      if (other) {
-        faults_.Add(counted.at, "'everything' leaves nothing out; alone or with 'each' expected");
-      } else if (met[slot] != nullptr) {
-        faults_.Add(counted.at, Never(slot, met[slot]->item == counted.item));
+      bool redundant = seen[0] != nullptr || (slot == 0 && (seen[1] || seen[2] || seen[3] || seen[4]));
+      if (redundant) {
+        errors_.Add(selector.location, "'everything' counts all requests; alone or with 'each' expected");
+      } else if (seen[slot] != nullptr) {
+        errors_.Add(selector.location, ConflictMessage(slot, seen[slot]->kind == selector.kind));
       } else if (slot != 0) {
-        Narrow(counted, ration);
+        Narrow(selector, quota);
       }
-      if (met[slot] == nullptr) met[slot] = &counted;
+      if (seen[slot] == nullptr) seen[slot] = &selector;
     }
-    ration.bucket_key |= each;
+    quota.bucket_key |= bucket_key;
   }
 
-  static std::string Never(int slot, bool same) {
+  static std::string ConflictMessage(int slot, bool same) {
     if (slot == 1 && !same)
-      return "no request both reads and writes, so none is counted; one of the two expected, or neither";
+      return "no request is both a read and a write, so none is counted; one of the two expected, or neither";
     if (slot == 2 && !same)
-      return "no request is both a first and a repeat, so none is counted; one of the two expected, or "
+      return "no request is both a first try and a retry, so none is counted; one of the two expected, or "
              "neither";
-    if (slot == 3) return "what is counted is of one class and of another; names joined by 'or' expected";
-    if (slot == 4)
-      return "what is counted is of one franchisee and of another; names joined by 'or' expected";
-    return "this stands here already; once expected";
+    if (slot == 3) return "a request has one class only; names joined by 'or' expected";
+    if (slot == 4) return "a request has one franchisee only; names joined by 'or' expected";
+    return "this is listed already; once expected";
   }
 
-  void Narrow(const Counted& counted, Quota& ration) {
-    auto beyond = [&](const std::string& what) {
-      faults_.Add(
-          counted.at,
-          fmt::format("'{}', which '{}' is inside of, does not count {}; part of what it counts expected",
-                      table_.quotas[ration.parent].name, ration.name, what));
+  void Narrow(const Selector& selector, Quota& quota) {
+    auto add_error = [&](const std::string& what) {
+      errors_.Add(
+          selector.location,
+          fmt::format("'{}', which '{}' is inside of, does not count {}; a part of what it counts expected",
+                      table_.quotas[quota.parent].name, quota.name, what));
     };
-    switch (counted.item) {
-      case Item::kReads:
-        ration.access == AccessKind::kWrites ? beyond("reads") : void(ration.access = AccessKind::kReads);
+    switch (selector.kind) {
+      case SelectorKind::kReads:
+        quota.access == AccessKind::kWrites ? add_error("reads") : void(quota.access = AccessKind::kReads);
         break;
-      case Item::kWrites:
-        ration.access == AccessKind::kReads ? beyond("writes") : void(ration.access = AccessKind::kWrites);
+      case SelectorKind::kWrites:
+        quota.access == AccessKind::kReads ? add_error("writes") : void(quota.access = AccessKind::kWrites);
         break;
-      case Item::kFirsts:
-        ration.try_kind == TryKind::kRetry ? beyond("firsts") : void(ration.try_kind = TryKind::kFirst);
+      case SelectorKind::kFirstTries:
+        quota.try_kind == TryKind::kRetry ? add_error("firsts") : void(quota.try_kind = TryKind::kFirst);
         break;
-      case Item::kRepeats:
-        ration.try_kind == TryKind::kFirst ? beyond("repeats") : void(ration.try_kind = TryKind::kRetry);
+      case SelectorKind::kRetries:
+        quota.try_kind == TryKind::kFirst ? add_error("repeats") : void(quota.try_kind = TryKind::kRetry);
         break;
-      case Item::kClasses:
-      case Item::kTenants: {
-        bool classes = counted.item == Item::kClasses;
-        auto found = (classes ? classes_ : tenants_).Find(counted.names, faults_);
-        if (!found) break;
-        std::vector<int>& list = classes ? ration.classes : ration.tenants;
-        for (std::size_t n = 0; n < found->size(); ++n) {
-          if (!list.empty() && !std::binary_search(list.begin(), list.end(), (*found)[n])) {
-            beyond(fmt::format("{} '{}'", classes ? "class" : "franchisee", counted.names[n].text));
+      case SelectorKind::kClasses:
+      case SelectorKind::kTenants: {
+        bool classes = selector.kind == SelectorKind::kClasses;
+        auto indexes = (classes ? classes_ : tenants_).Resolve(selector.names, errors_);
+        if (!indexes) break;
+        std::vector<int>& list = classes ? quota.classes : quota.tenants;
+        for (std::size_t n = 0; n < indexes->size(); ++n) {
+          if (!list.empty() && !std::binary_search(list.begin(), list.end(), (*indexes)[n])) {
+            add_error(fmt::format("{} '{}'", classes ? "class" : "franchisee", selector.names[n].text));
             return;
           }
         }
-        std::sort(found->begin(), found->end());
-        list = std::move(*found);
+        std::sort(indexes->begin(), indexes->end());
+        list = std::move(*indexes);
         break;
       }
       default:
@@ -255,32 +260,32 @@
     }
   }
 
-  void SetKeyGroup(const Counted& counted, Quota& ration) {
-    double n = counted.characters.value;
-    if (n < 1 || n > kMostCharacters || n != static_cast<int>(n)) {
-      faults_.Add(counted.characters.at,
-                  fmt::format("a whole number of characters from 1 to {} expected", kMostCharacters));
-    } else if (n < ration.key_prefix_length) {
-      faults_.Add(
-          counted.characters.at,
+  void SetKeyPrefixLength(const Selector& selector, Quota& quota) {
+    double n = selector.prefix_length.value;
+    if (n < 1 || n > kMaxKeyPrefixLength || n != static_cast<int>(n)) {
+      errors_.Add(selector.prefix_length.location,
+                  fmt::format("a whole number of characters from 1 to {} expected", kMaxKeyPrefixLength));
+    } else if (n < quota.key_prefix_length) {
+      errors_.Add(
+          selector.prefix_length.location,
           fmt::format(
               "'{}', which '{}' is inside of, has a bucket for each group of {} characters; at least as "
               "many expected",
-              table_.quotas[ration.parent].name, ration.name, ration.key_prefix_length));
+              table_.quotas[quota.parent].name, quota.name, quota.key_prefix_length));
     } else {
-      ration.key_prefix_length = static_cast<int>(n);
+      quota.key_prefix_length = static_cast<int>(n);
     }
   }
 
-  const BookText& book_;
+  const QuotaConfigAst& ast_;
   const Settings& settings_;
-  Faults& faults_;
-  Names classes_, tenants_;
-  ChangeReader changes_;
-  std::unordered_map<std::string, std::size_t> stated_;
+  ErrorList& errors_;
+  NameIndex classes_, tenants_;
+  OverrideCompiler overrides_;
+  std::unordered_map<std::string, std::size_t> first_definitions_;
   QuotaTable table_;
-  std::vector<RationPlaces> places_;
-  std::vector<bool> whole_;
+  std::vector<QuotaLocations> locations_;
+  std::vector<bool> error_free_;
 };
 
 }  // namespace
@@ -288,7 +293,7 @@
 
 namespace {
 
-std::string Joined(const std::string& file, const std::vector<QuotaConfigError>& errors) {
+std::string JoinErrors(const std::string& file, const std::vector<QuotaConfigError>& errors) {
   std::string text;
   for (const QuotaConfigError& error : errors) {
     text += fmt::format("{}{}:{}:{}: {}", text.empty() ? "" : "\n", file, error.line, error.column,
@@ -300,34 +305,34 @@
 }  // namespace
 
 InvalidQuotaConfig::InvalidQuotaConfig(const std::string& file, std::vector<QuotaConfigError> errors)
-    : std::runtime_error(Joined(file, errors)), errors_(std::move(errors)) {}
+    : std::runtime_error(JoinErrors(file, errors)), errors_(std::move(errors)) {}
 
 QuotaTable ParseQuotaConfig(std::string_view text, const Settings& settings, const std::string& file,
-                            int reads) {
-  book::Faults faults;
-  auto check = [&] {
-    if (faults.list.empty()) return;
-    std::stable_sort(faults.list.begin(), faults.list.end(),
+                            int max_language_version) {
+  book::ErrorList errors;
+  auto throw_if_any = [&] {
+    if (errors.entries.empty()) return;
+    std::stable_sort(errors.entries.begin(), errors.entries.end(),
                      [](const QuotaConfigError& a, const QuotaConfigError& b) {
                        return std::pair(a.line, a.column) < std::pair(b.line, b.column);
                      });
-    throw InvalidQuotaConfig(file, std::move(faults.list));
+    throw InvalidQuotaConfig(file, std::move(errors.entries));
   };
   if (text.size() > kMaxQuotaConfigBytes) {
-    faults.Add({},
+    errors.Add({},
                fmt::format("the book has {} bytes; at most {} expected", text.size(), kMaxQuotaConfigBytes));
-    check();
+    throw_if_any();
   }
-  book::BookText written = book::ParseBook(text, faults, reads);
-  check();
-  QuotaTable table = book::Compiler(written, settings, faults).Compile();
-  check();
+  book::QuotaConfigAst ast = book::ParseAst(text, errors, max_language_version);
+  throw_if_any();
+  QuotaTable table = book::Compiler(ast, settings, errors).Compile();
+  throw_if_any();
   std::string canonical = FormatQuotaConfig(table, settings);
   if (canonical.size() > kMaxQuotaConfigBytes) {
-    faults.Add({}, fmt::format("the book's canonical form, with daily hours counted by the day, has {} "
+    errors.Add({}, fmt::format("the book's canonical form, with daily hours expanded to days, has {} "
                                "bytes; at most {} expected",
                                canonical.size(), kMaxQuotaConfigBytes));
-    check();
+    throw_if_any();
   }
   table.fingerprint = book::FingerprintOf(table, settings, canonical);
   return table;
--- a/src/rations/quota_config.h
+++ b/src/rations/quota_config.h
@@ -1,6 +1,5 @@
-// The language of a book of rations: from its text to the table that the program uses, and back in one
-// canonical form. docs/rations.md says what each statement means. Free of clocks; time zones are read from
-// the system's tzdata.
+// Compiles the quota configuration language into a QuotaTable, and formats a table in one canonical form.
+// docs/rations.md specifies the language. Does not read clocks; time zones come from the system's tzdata.
 #pragma once
 
 #include <cstddef>
@@ -14,15 +13,16 @@
 
 namespace peatbend::rations {
 
-// The last version of the language that this program reads; it reads those before it too. 2: 'retire'.
+// The latest supported version of the language; earlier ones are supported too. Version 2 added 'retire'.
 constexpr int kQuotaLanguageVersion = 2;
 constexpr std::size_t kMaxQuotaConfigBytes = 1u << 20;
 constexpr std::size_t kMaxQuotas = 4096;
-constexpr std::size_t kMaxRetiredReaders = 1024,
-                      kMaxRetiredTextBytes = 128;    // readers; bytes of a name or reason
-constexpr std::size_t kMaxOverridesPerQuota = 1000;  // of one ration, daily hours counted by the day
-constexpr std::size_t kMaxOverrides = 10'000;        // of all
-constexpr std::size_t kMaxQuotaConfigErrors = 100;   // told of one book; the others are dropped
+constexpr std::size_t kMaxRetiredReaders = 1024;
+constexpr std::size_t kMaxRetiredTextBytes = 128;    // of a retired reader's name or reason
+constexpr std::size_t kMaxOverridesPerQuota = 1000;  // a daily override counts once for each day
+constexpr std::size_t kMaxOverrides = 10'000;        // of all quotas together
+constexpr std::size_t kMaxQuotaConfigErrors =
+    100;  // reported for one configuration; further ones are dropped
 
 struct QuotaConfigError {
   int line = 1, column = 1;  // both from 1; the column in bytes
@@ -30,7 +30,7 @@
   bool operator==(const QuotaConfigError&) const = default;
 };
 
-// A book that is refused; what() has a line for each error: FILE:LINE:COLUMN: what.
+// Thrown for an invalid configuration; what() has a line "FILE:LINE:COLUMN: message" for each error.
 class InvalidQuotaConfig : public std::runtime_error {
  public:
   InvalidQuotaConfig(const std::string& file, std::vector<QuotaConfigError> errors);
@@ -40,14 +40,15 @@
   std::vector<QuotaConfigError> errors_;
 };
 
-// Throws BookRefused with every error found, in the order of their places; where the text does not follow the
-// grammar, with those errors alone. `file` is only for the messages. `reads`: the last version of the
-// language that is taken, kBookReads at the most.
+// Throws InvalidQuotaConfig with all errors found, sorted by location; after syntax errors nothing else is
+// checked. `file` is used in messages only. `max_language_version`: the latest version to accept, at most
+// kQuotaLanguageVersion.
 QuotaTable ParseQuotaConfig(std::string_view text, const Settings& settings, const std::string& file,
-                            int reads = kQuotaLanguageVersion);
+                            int max_language_version = kQuotaLanguageVersion);
 
-// The canonical form: equal for equal tables, whatever they were read from. ReadBook gives the same table and
-// print for it under the same settings. Throws std::out_of_range for a table of other settings.
+// Returns the canonical form, which is the same for equal tables. ParseQuotaConfig gives an equal table with
+// the same fingerprint for it under the same settings. Throws std::out_of_range if the table was made for
+// other settings.
 std::string FormatQuotaConfig(const QuotaTable& table, const Settings& settings);
 
 }  // namespace peatbend::rations
--- a/src/rations/quota_config_ast.h
+++ b/src/rations/quota_config_ast.h
@@ -1,5 +1,6 @@
-// A book as it is written: statements with their places, names not resolved. Between the grammar and the
-// compiler; of no use to others.
+// The abstract syntax tree of a quota configuration: the parser's output and the compiler's input. Names are
+// not resolved yet, and every node keeps its source location for error messages. Internal to the
+// quota_config* files.
 #pragma once
 
 #include <cstdint>
@@ -13,105 +14,106 @@
 
 namespace peatbend::rations::book {
 
-struct Place {
+struct SourceLocation {
   int line = 1, column = 1;
 };
-struct Word {
-  Place at;
+struct LocatedText {
+  SourceLocation location;
   std::string text;
 };
-struct Amount {
-  Place at;
+struct LocatedNumber {
+  SourceLocation location;
   double value = 0;
 };
-struct Day {
-  Place at;
+struct Date {
+  SourceLocation location;
   int year = 0, month = 0, day = 0;
 };
-struct Hour {  // of a day, on a clock on the wall
-  Place at;
+struct TimeOfDay {  // local time
+  SourceLocation location;
   int hour = 0, minute = 0, second = 0;
 };
 
-enum class Item : std::uint8_t {
+// The items of a `counts` statement.
+enum class SelectorKind : std::uint8_t {
   kEverything,
   kReads,
   kWrites,
-  kFirsts,
-  kRepeats,
+  kFirstTries,
+  kRetries,
   kClasses,
   kTenants,
   kEachTenant,
   kEachClass,
   kEachClient,
-  kEachKeyGroup
+  kEachKeyPrefix
 };
-struct Counted {
-  Item item{};
-  Place at;
-  std::vector<Word> names;  // of kClasses, kTenants
-  Amount characters;        // of kEachKeyGroup
+struct Selector {
+  SelectorKind kind{};
+  SourceLocation location;
+  std::vector<LocatedText> names;  // of kClasses, kTenants
+  LocatedNumber prefix_length;     // of kEachKeyPrefix, in characters
 };
 
-enum class Says : std::uint8_t {
+enum class StatementKind : std::uint8_t {
   kCounts,
   kRate,
   kBurst,
   kHard,
   kSoft,
   kBorrows,
-  kOver,
-  kPeriod,
+  kOverLimit,
+  kPeriod,  // this and the kinds below override the rate
   kUntil,
   kDaily,
   kWhile
 };
 struct Statement {
-  Says says{};
-  Place at;
-  std::vector<Counted> counted;
-  Amount rate, burst;       // rate: tokens a second
-  std::vector<Day> days;    // kPeriod: from, to; kUntil: to; kDaily: the first and the last
-  std::vector<Hour> hours;  // the same
-  unsigned signs = kNoCondition;
-  WhenUnreachable alone{};
-  OverLimitAction over{};
+  StatementKind kind{};
+  SourceLocation location;
+  std::vector<Selector> selectors;
+  LocatedNumber rate, burst;     // rate: tokens per second
+  std::vector<Date> dates;       // kPeriod: start and, if given, end; kUntil: end; kDaily: first and last day
+  std::vector<TimeOfDay> times;  // kPeriod, kUntil: of the dates above; kDaily: start and end on each day
+  unsigned conditions = kNoCondition;
+  WhenUnreachable when_unreachable{};
+  OverLimitAction over_limit{};
 };
 
-struct RationText {
-  Word name;
-  std::optional<Word> inside;
+struct QuotaDefinition {
+  LocatedText name;
+  std::optional<LocatedText> parent;
   std::vector<Statement> statements;
 };
 
-struct RetiredText {
-  Word reader, why;
+struct RetireDefinition {
+  LocatedText reader, reason;
   std::uint64_t statement = 0;
 };
 
-struct BookText {
-  int reads = 1;
-  std::optional<Word> zone;
-  std::vector<RetiredText> retired;
-  std::vector<RationText> rations;
+struct QuotaConfigAst {
+  int language_version = 1;
+  std::optional<LocatedText> time_zone;
+  std::vector<RetireDefinition> retired_readers;
+  std::vector<QuotaDefinition> quotas;
 };
 
-// What is found wrong, kMostBookErrors at the most.
-class Faults {
+// Collects the errors of a configuration; keeps the first kMaxQuotaConfigErrors.
+class ErrorList {
  public:
-  bool full() const { return list.size() >= kMaxQuotaConfigErrors; }
-  void Add(Place at, std::string what) {
-    ++found;
-    if (!full()) list.push_back({at.line, at.column, std::move(what)});
+  bool full() const { return entries.size() >= kMaxQuotaConfigErrors; }
+  void Add(SourceLocation location, std::string message) {
+    ++total;
+    if (!full()) entries.push_back({location.line, location.column, std::move(message)});
   }
-  std::vector<QuotaConfigError> list;
-  std::size_t found = 0;  // with those that are not in the list
+  std::vector<QuotaConfigError> entries;
+  std::size_t total = 0;  // including the errors that were not kept
 };
 
-// By the grammar alone. What comes back is of use only if there are no faults.
-BookText ParseBook(std::string_view text, Faults& faults, int reads);
+// Checks the syntax only. The result is valid only if no error was added.
+QuotaConfigAst ParseAst(std::string_view text, ErrorList& errors, int max_language_version);
 
-// Table::print of a table with that canonical form; never 0.
+// QuotaTable::fingerprint of a table with that canonical form; never 0.
 std::uint64_t FingerprintOf(const QuotaTable& table, const Settings& settings, const std::string& canonical);
 
 }  // namespace peatbend::rations::book
--- a/src/rations/quota_config_checks.h
+++ b/src/rations/quota_config_checks.h
@@ -1,4 +1,4 @@
-// What a book may not say though each of its statements can be read.
+// Semantic checks on a compiled table, for contradictions between statements that are valid on their own.
 #pragma once
 
 #include <vector>
@@ -7,18 +7,20 @@
 
 namespace peatbend::rations::book {
 
-struct PacePlace {
-  Place at, rate, burst;  // at: of a change
+struct RateLocations {
+  SourceLocation location, rate,
+      burst;  // location: of the override's statement; unused for the quota's own rate
 };
-// Where the parts of a table's ration stand in the book.
-struct RationPlaces {
-  Place name;
-  PacePlace pace;
-  std::vector<PacePlace> changes;
+// Source locations of the parts of a quota.
+struct QuotaLocations {
+  SourceLocation name;
+  RateLocations rate;
+  std::vector<RateLocations> overrides;
 };
 
-// `whole`: of each ration, whether it was read without a fault; the others are passed over.
-void CheckTable(const QuotaTable& table, const std::vector<RationPlaces>& places,
-                const std::vector<bool>& whole, const Settings& settings, Faults& faults);
+// Adds an error for each contradiction. `error_free`: for each quota whether it compiled without errors; the
+// others are skipped.
+void CheckQuotaTable(const QuotaTable& table, const std::vector<QuotaLocations>& locations,
+                     const std::vector<bool>& error_free, const Settings& settings, ErrorList& errors);
 
 }  // namespace peatbend::rations::book
--- a/src/rations/quota_config_format.cpp
+++ b/src/rations/quota_config_format.cpp
@@ -1,4 +1,4 @@
-// The canonical form of a table.
+// Formats a table in the canonical form of the language.
 #include <fmt/format.h>
 #include <xxhash.h>
 
@@ -12,7 +12,7 @@
 namespace peatbend::rations {
 namespace {
 
-std::string Quoted(const std::string& name) {
+std::string Quote(const std::string& name) {
   std::string text = "\"";
   for (char c : name) {
     if (c == '"' || c == '\\') {
@@ -27,15 +27,15 @@
   return text + '"';
 }
 
-std::string Name(const std::string& name) {
+std::string FormatName(const std::string& name) {
   auto plain = [](unsigned char c) {
     return (c < 0x80 && std::isalnum(c) != 0) || c == '_' || c == '-' || c == '.';
   };
-  return !name.empty() && std::all_of(name.begin(), name.end(), plain) ? name : Quoted(name);
+  return !name.empty() && std::all_of(name.begin(), name.end(), plain) ? name : Quote(name);
 }
 
-// In the unit in which it is shortest, of those that give the same number back.
-std::string Rate(double rate) {
+// Uses the unit that gives the shortest text, of those from which parsing restores exactly the same rate.
+std::string FormatRate(double rate) {
   std::string best = fmt::format("{} a second", rate);
   for (auto [seconds, unit] : {std::pair{60.0, "a minute"}, std::pair{3600.0, "an hour"}}) {
     std::string amount = fmt::format("{}", rate * seconds);
@@ -47,36 +47,37 @@
 }
 
 template <typename T>
-std::string Names(const std::vector<int>& numbers, const std::vector<T>& of) {
+std::string FormatNames(const std::vector<int>& indexes, const std::vector<T>& items) {
   std::string text;
-  for (int number : numbers) text.append(text.empty() ? "" : " or ").append(Name(of.at(number).name));
+  for (int index : indexes) text.append(text.empty() ? "" : " or ").append(FormatName(items.at(index).name));
   return text;
 }
 
-std::string Whom(const Quota& ration, const Settings& settings) {
+std::string FormatSelectors(const Quota& quota, const Settings& settings) {
   std::string text;
   auto add = [&](const std::string& item) { text.append(text.empty() ? "" : ", ").append(item); };
-  if (!ration.classes.empty()) add("class " + Names(ration.classes, settings.classes));
-  if (!ration.tenants.empty()) add("franchisee " + Names(ration.tenants, settings.tenants));
-  if (ration.access != AccessKind::kAny) add(ration.access == AccessKind::kReads ? "reads" : "writes");
-  if (ration.try_kind != TryKind::kAny) add(ration.try_kind == TryKind::kFirst ? "firsts" : "repeats");
-  if (ration.bucket_key & kPerTenant) add("each franchisee");
-  if (ration.bucket_key & kPerClass) add("each class");
-  if (ration.bucket_key & kPerClient) add("each shop");
-  if (ration.bucket_key & kPerKeyPrefix)
-    add(fmt::format("each key group of {} characters", ration.key_prefix_length));
+  if (!quota.classes.empty()) add("class " + FormatNames(quota.classes, settings.classes));
+  if (!quota.tenants.empty()) add("franchisee " + FormatNames(quota.tenants, settings.tenants));
+  if (quota.access != AccessKind::kAny) add(quota.access == AccessKind::kReads ? "reads" : "writes");
+  if (quota.try_kind != TryKind::kAny) add(quota.try_kind == TryKind::kFirst ? "firsts" : "repeats");
+  if (quota.bucket_key & kPerTenant) add("each franchisee");
+  if (quota.bucket_key & kPerClass) add("each class");
+  if (quota.bucket_key & kPerClient) add("each shop");
+  if (quota.bucket_key & kPerKeyPrefix)
+    add(fmt::format("each key group of {} characters", quota.key_prefix_length));
   return text.empty() ? "everything" : text;
 }
 
-std::string When(const RateOverride& change) {
+std::string FormatWhen(const RateOverride& rate_override) {
   std::string text;
-  if (change.from_s != INT64_MIN) text = "from " + book::UtcText(change.from_s);
-  if (change.to_s != INT64_MAX) text += (text.empty() ? "until " : " to ") + book::UtcText(change.to_s);
-  if (change.conditions != kNoCondition) {
+  if (rate_override.from_s != INT64_MIN) text = "from " + book::FormatUtc(rate_override.from_s);
+  if (rate_override.to_s != INT64_MAX)
+    text += (text.empty() ? "until " : " to ") + book::FormatUtc(rate_override.to_s);
+  if (rate_override.conditions != kNoCondition) {
     text += text.empty() ? "while " : " while ";
-    if (change.conditions & kOriginOverloaded) text += "origin strained";
-    if (change.conditions == (kOriginOverloaded | kZoneLost)) text += " and ";
-    if (change.conditions & kZoneLost) text += "zone lost";
+    if (rate_override.conditions & kOriginOverloaded) text += "origin strained";
+    if (rate_override.conditions == (kOriginOverloaded | kZoneLost)) text += " and ";
+    if (rate_override.conditions & kZoneLost) text += "zone lost";
   }
   return text;
 }
@@ -85,27 +86,26 @@
 
 std::string FormatQuotaConfig(const QuotaTable& table, const Settings& settings) {
   std::string out = fmt::format("book reads {}\ntime zone UTC\n", table.language_version);
-  for (const RetiredReader& one : table.retired_readers)
-    out += fmt::format("retire reader {} statement {} because {};\n", Name(one.reader), one.statement,
-                       Quoted(one.reason));
-  for (const Quota& ration : table.quotas) {
-    out += "ration " + ration.name;
-    if (ration.parent >= 0) out += " inside " + table.quotas.at(ration.parent).name;
-    out += fmt::format(" {{\n  counts {};\n  rate {};\n  burst {};\n", Whom(ration, settings),
-                       Rate(ration.rate.per_second), ration.rate.burst);
-    out += ration.hard ? "  hard;\n"
-                       : fmt::format("  soft, alone {};\n",
-                                     ration.when_unreachable == WhenUnreachable::kReject     ? "reject"
-                                     : ration.when_unreachable == WhenUnreachable::kOwnShare ? "own share"
-                                                                                             : "open");
-    if (ration.borrows) out += "  borrows;\n";
-    out +=
-        fmt::format("  over: {};\n", ration.over_limit == OverLimitAction::kReject          ? "reject"
-                                     : ration.over_limit == OverLimitAction::kLowerPriority ? "rank lower"
-                                                                                            : "count only");
-    for (const RateOverride& change : ration.overrides) {
-      out += fmt::format("  {}: rate {}, burst {};\n", When(change), Rate(change.rate.per_second),
-                         change.rate.burst);
+  for (const RetiredReader& retired : table.retired_readers)
+    out += fmt::format("retire reader {} statement {} because {};\n", FormatName(retired.reader),
+                       retired.statement, Quote(retired.reason));
+  for (const Quota& quota : table.quotas) {
+    out += "ration " + quota.name;
+    if (quota.parent >= 0) out += " inside " + table.quotas.at(quota.parent).name;
+    out += fmt::format(" {{\n  counts {};\n  rate {};\n  burst {};\n", FormatSelectors(quota, settings),
+                       FormatRate(quota.rate.per_second), quota.rate.burst);
+    out += quota.hard ? "  hard;\n"
+                      : fmt::format("  soft, alone {};\n",
+                                    quota.when_unreachable == WhenUnreachable::kReject     ? "reject"
+                                    : quota.when_unreachable == WhenUnreachable::kOwnShare ? "own share"
+                                                                                           : "open");
+    if (quota.borrows) out += "  borrows;\n";
+    out += fmt::format("  over: {};\n", quota.over_limit == OverLimitAction::kReject          ? "reject"
+                                        : quota.over_limit == OverLimitAction::kLowerPriority ? "rank lower"
+                                                                                              : "count only");
+    for (const RateOverride& rate_override : quota.overrides) {
+      out += fmt::format("  {}: rate {}, burst {};\n", FormatWhen(rate_override),
+                         FormatRate(rate_override.rate.per_second), rate_override.rate.burst);
     }
     out += "}\n";
   }
@@ -114,23 +114,25 @@
 
 std::uint64_t book::FingerprintOf(const QuotaTable& table, const Settings& settings,
                                   const std::string& canonical) {
-  // Names have numbers in the table, and those of all franchisees or classes are in the buckets of 'each'.
+  // The table refers to tenants and classes by index, and buckets of 'each' hash the indexes of all of them.
+  // The fingerprint includes the name of every index in use, so that routers that number them differently do
+  // not match.
   std::vector<bool> tenants(settings.tenants.size()), classes(settings.classes.size());
-  for (const Quota& ration : table.quotas) {
-    if (ration.bucket_key & kPerTenant) tenants.assign(tenants.size(), true);
-    if (ration.bucket_key & kPerClass) classes.assign(classes.size(), true);
-    for (int number : ration.tenants) tenants.at(number) = true;
-    for (int number : ration.classes) classes.at(number) = true;
+  for (const Quota& quota : table.quotas) {
+    if (quota.bucket_key & kPerTenant) tenants.assign(tenants.size(), true);
+    if (quota.bucket_key & kPerClass) classes.assign(classes.size(), true);
+    for (int index : quota.tenants) tenants.at(index) = true;
+    for (int index : quota.classes) classes.at(index) = true;
   }
   std::string text = canonical;
   for (std::size_t i = 0; i < tenants.size(); ++i) {
-    if (tenants[i]) text += fmt::format("franchisee {} {}\n", i, Name(settings.tenants[i].name));
+    if (tenants[i]) text += fmt::format("franchisee {} {}\n", i, FormatName(settings.tenants[i].name));
   }
   for (std::size_t i = 0; i < classes.size(); ++i) {
-    if (classes[i]) text += fmt::format("class {} {}\n", i, Name(settings.classes[i].name));
+    if (classes[i]) text += fmt::format("class {} {}\n", i, FormatName(settings.classes[i].name));
   }
-  std::uint64_t print = XXH3_64bits(text.data(), text.size());
-  return print == 0 ? 1 : print;
+  std::uint64_t fingerprint = XXH3_64bits(text.data(), text.size());
+  return fingerprint == 0 ? 1 : fingerprint;
 }
 
 }  // namespace peatbend::rations
--- a/src/rations/quota_config_names.cpp
+++ b/src/rations/quota_config_names.cpp
@@ -11,7 +11,7 @@
 namespace peatbend::rations::book {
 namespace {
 
-std::size_t Distance(std::string_view a, std::string_view b) {
+std::size_t EditDistance(std::string_view a, std::string_view b) {
   std::vector<std::size_t> row(b.size() + 1);
   std::iota(row.begin(), row.end(), 0u);
   for (std::size_t i = 0; i < a.size(); ++i) {
@@ -25,26 +25,27 @@
   return row.back();
 }
 
-// The one of `names` that is nearest to `name`; empty if none is near.
-std::string Nearest(std::string_view name, const std::vector<std::string>& names) {
+// Returns the most similar of `names`, or an empty string if none is similar.
+std::string MostSimilar(std::string_view name, const std::vector<std::string>& names) {
   std::string best;
   name = name.substr(0, 100);
-  std::size_t least = std::max<std::size_t>(2, name.size() / 3) + 1;
+  std::size_t best_distance = std::max<std::size_t>(2, name.size() / 3) + 1;
   for (const std::string& one : names) {
-    std::size_t apart = std::max(one.size(), name.size()) - std::min(one.size(), name.size());
-    if (apart >= least) continue;
-    std::size_t distance = Distance(name, one);
-    if (distance < least) least = distance, best = one;
+    std::size_t length_difference = std::max(one.size(), name.size()) - std::min(one.size(), name.size());
+    if (length_difference >= best_distance) continue;
+    std::size_t distance = EditDistance(name, one);
+    if (distance < best_distance) best_distance = distance, best = one;
   }
   return best;
 }
 
 }  // namespace
 
-std::string UnknownName(const char* sort, const std::string& name, const std::vector<std::string>& all) {
-  std::string text = fmt::format("no {} of the name '{}' is known", sort, name.substr(0, 100));
-  std::string nearest = Nearest(name, all);
-  if (!nearest.empty()) return text + fmt::format("; '{}' expected?", nearest);
+std::string UnknownNameMessage(const char* kind, const std::string& name,
+                               const std::vector<std::string>& all) {
+  std::string text = fmt::format("no {} of the name '{}' is known", kind, name.substr(0, 100));
+  std::string similar = MostSimilar(name, all);
+  if (!similar.empty()) return text + fmt::format("; '{}' expected?", similar);
   if (all.empty()) return text + "; there are none";
   text += "; expected one of";
   for (std::size_t i = 0; i < all.size() && i < 5; ++i)
@@ -52,30 +53,32 @@
   return all.size() > 5 ? text + fmt::format(" and {} more", all.size() - 5) : text;
 }
 
-std::optional<std::vector<int>> Names::Find(const std::vector<Word>& words, Faults& faults) const {
-  std::vector<int> found;
-  std::unordered_set<int> met;
-  bool good = true;
-  for (const Word& word : words) {
-    if (faults.full()) return std::nullopt;
-    auto at = numbers_.find(word.text);
-    if (at == numbers_.end()) {
-      good = false;
-      faults.Add(word.at, UnknownName(sort_, word.text, all_));
-    } else if (at->second < 0) {
-      good = false;
-      faults.Add(word.at,
-                 fmt::format("the settings have more than one {} of the name '{}'; a name of one expected",
-                             sort_, word.text));
-    } else if (!met.insert(at->second).second) {
-      good = false;
-      faults.Add(word.at, fmt::format("{} '{}' stands in the list twice; once expected", sort_, word.text));
+std::optional<std::vector<int>> NameIndex::Resolve(const std::vector<LocatedText>& names,
+                                                   ErrorList& errors) const {
+  std::vector<int> resolved;
+  std::unordered_set<int> seen;
+  bool valid = true;
+  for (const LocatedText& name : names) {
+    if (errors.full()) return std::nullopt;
+    auto entry = indexes_.find(name.text);
+    if (entry == indexes_.end()) {
+      valid = false;
+      errors.Add(name.location, UnknownNameMessage(kind_, name.text, all_));
+    } else if (entry->second < 0) {
+      valid = false;
+      errors.Add(
+          name.location,
+          fmt::format("the settings have more than one {} of the name '{}'; an unambiguous name expected",
+                      kind_, name.text));
+    } else if (!seen.insert(entry->second).second) {
+      valid = false;
+      errors.Add(name.location, fmt::format("{} '{}' is listed twice; once expected", kind_, name.text));
     } else {
-      found.push_back(at->second);
+      resolved.push_back(entry->second);
     }
   }
-  if (!good) return std::nullopt;
-  return found;
+  if (!valid) return std::nullopt;
+  return resolved;
 }
 
 }  // namespace peatbend::rations::book
--- a/src/rations/quota_config_names.h
+++ b/src/rations/quota_config_names.h
@@ -1,4 +1,4 @@
-// Names in a book, and the known ones nearest to those that are not known.
+// Resolves names in a quota configuration, and suggests similar names for unknown ones.
 #pragma once
 
 #include <optional>
@@ -10,27 +10,29 @@
 
 namespace peatbend::rations::book {
 
-// `sort`: "class", as messages call it.
-std::string UnknownName(const char* sort, const std::string& name, const std::vector<std::string>& all);
+// The error message for an unknown name. `kind`: what is named, such as "class".
+std::string UnknownNameMessage(const char* kind, const std::string& name,
+                               const std::vector<std::string>& all);
 
-// The settings' names of one sort, with their numbers.
-class Names {
+// Maps the settings' names of one kind to their indexes.
+class NameIndex {
  public:
   template <typename T>
-  Names(const char* sort, const std::vector<T>& of) : sort_(sort) {
-    for (std::size_t i = 0; i < of.size(); ++i) {
-      auto [at, added] = numbers_.try_emplace(of[i].name, static_cast<int>(i));
-      if (!added) at->second = -1;
-      all_.push_back(of[i].name);
+  NameIndex(const char* kind, const std::vector<T>& items) : kind_(kind) {
+    for (std::size_t i = 0; i < items.size(); ++i) {
+      auto [entry, added] = indexes_.try_emplace(items[i].name, static_cast<int>(i));
+      if (!added) entry->second = -1;
+      all_.push_back(items[i].name);
     }
   }
 
-  // In the order of the words; nothing where one is at fault.
-  std::optional<std::vector<int>> Find(const std::vector<Word>& words, Faults& faults) const;
+  // Returns the indexes in the order of `names`, or nothing after adding an error for each name that is
+  // unknown, ambiguous or repeated.
+  std::optional<std::vector<int>> Resolve(const std::vector<LocatedText>& names, ErrorList& errors) const;
 
  private:
-  const char* sort_;
-  std::unordered_map<std::string, int> numbers_;  // -1: of several
+  const char* kind_;
+  std::unordered_map<std::string, int> indexes_;  // -1: several items have the name
   std::vector<std::string> all_;
 };
 
--- a/src/rations/quota_config_overrides.cpp
+++ b/src/rations/quota_config_overrides.cpp
@@ -7,106 +7,113 @@
 namespace peatbend::rations::book {
 namespace {
 
-constexpr double kLeastRate = 0.0001, kMostRate = 1e9, kMostBurst = 1e9;
+constexpr double kMinRate = 0.0001, kMaxRate = 1e9, kMaxBurst = 1e9;
 
 }  // namespace
 
-ChangeReader::ChangeReader(const std::optional<Word>& zone, Faults& faults) : faults_(faults) {
-  std::string name = zone ? zone->text : "UTC";
-  zone_ = Zone::Named(name);
-  if (!zone_) faults_.Add(zone ? zone->at : Place{}, UnknownName("time zone", name, Zone::Names()));
+OverrideCompiler::OverrideCompiler(const std::optional<LocatedText>& time_zone, ErrorList& errors)
+    : errors_(errors) {
+  std::string name = time_zone ? time_zone->text : "UTC";
+  time_zone_ = TimeZone::Find(name);
+  if (!time_zone_)
+    errors_.Add(time_zone ? time_zone->location : SourceLocation{},
+                UnknownNameMessage("time zone", name, TimeZone::AllNames()));
 }
 
-double ChangeReader::Rate(const Amount& amount) {
-  if (!(amount.value >= kLeastRate && amount.value <= kMostRate)) {
-    faults_.Add(amount.at,
-                fmt::format("a rate above 0 expected, from {} to {:.0f} a second", kLeastRate, kMostRate));
+double OverrideCompiler::CheckedRate(const LocatedNumber& rate) {
+  if (!(rate.value >= kMinRate && rate.value <= kMaxRate)) {
+    errors_.Add(rate.location,
+                fmt::format("a rate above 0 expected, from {} to {:.0f} a second", kMinRate, kMaxRate));
   }
-  return amount.value;
+  return rate.value;
 }
-double ChangeReader::Burst(const Amount& amount) {
-  if (!(amount.value >= 1 && amount.value <= kMostBurst)) {
-    faults_.Add(amount.at, fmt::format("a burst of 1 or more expected, up to {:.0f}", kMostBurst));
+double OverrideCompiler::CheckedBurst(const LocatedNumber& burst) {
+  if (!(burst.value >= 1 && burst.value <= kMaxBurst)) {
+    errors_.Add(burst.location, fmt::format("a burst of 1 or more expected, up to {:.0f}", kMaxBurst));
   }
-  return amount.value;
+  return burst.value;
 }
 
-bool ChangeReader::GoodTimes(const Statement& statement) {
-  bool good = zone_.has_value();
-  for (const Day& day : statement.days) {
-    if (IsDay(day)) continue;
-    good = false;
-    faults_.Add(day.at,
-                fmt::format("no such day; one of the years {} to {} expected", kFirstYear, kLastYear));
+bool OverrideCompiler::CheckTimes(const Statement& statement) {
+  bool valid = time_zone_.has_value();
+  for (const Date& day : statement.dates) {
+    if (IsValidDate(day)) continue;
+    valid = false;
+    errors_.Add(day.location,
+                fmt::format("no such day; a date in the years {} to {} expected", kFirstYear, kLastYear));
   }
-  for (const Hour& hour : statement.hours) {
-    bool end = hour.hour == 24 && hour.minute == 0 && hour.second == 0;
-    if (end || (hour.hour < 24 && hour.minute < 60 && hour.second < 60)) continue;
-    good = false;
-    faults_.Add(hour.at, "no such time of day; 00:00 to 24:00 expected");
+  for (const TimeOfDay& time : statement.times) {
+    bool midnight = time.hour == 24 && time.minute == 0 && time.second == 0;
+    if (midnight || (time.hour < 24 && time.minute < 60 && time.second < 60)) continue;
+    valid = false;
+    errors_.Add(time.location, "no such time of day; 00:00 to 24:00 expected");
   }
-  return good;
+  return valid;
 }
 
-bool ChangeReader::Add(const Statement& statement, Quota& ration, RationPlaces& places) {
-  RateOverride change{.conditions = statement.signs, .rate = {Rate(statement.rate), Burst(statement.burst)}};
-  if (!GoodTimes(statement)) return true;
-  const std::vector<Day>& days = statement.days;
-  const std::vector<Hour>& hours = statement.hours;
-  if (statement.says == Says::kUntil) {
-    change.to_s = zone_->UnixOf(days[0], hours[0]);
-  } else if (statement.says == Says::kPeriod) {
-    change.from_s = zone_->UnixOf(days[0], hours[0]);
-    if (days.size() > 1) {
-      change.to_s = zone_->UnixOf(days[1], hours[1]);
-      if (change.to_s <= change.from_s) {
-        faults_.Add(days[1].at, "the time ends before it begins, or as it does; a later end expected");
+bool OverrideCompiler::Add(const Statement& statement, Quota& quota, QuotaLocations& locations) {
+  RateOverride rate_override{.conditions = statement.conditions,
+                             .rate = {CheckedRate(statement.rate), CheckedBurst(statement.burst)}};
+  if (!CheckTimes(statement)) return true;
+  const std::vector<Date>& dates = statement.dates;
+  const std::vector<TimeOfDay>& times = statement.times;
+  if (statement.kind == StatementKind::kUntil) {
+    rate_override.to_s = time_zone_->ToUnixSeconds(dates[0], times[0]);
+  } else if (statement.kind == StatementKind::kPeriod) {
+    rate_override.from_s = time_zone_->ToUnixSeconds(dates[0], times[0]);
+    if (dates.size() > 1) {
+      rate_override.to_s = time_zone_->ToUnixSeconds(dates[1], times[1]);
+      if (rate_override.to_s <= rate_override.from_s) {
+        errors_.Add(dates[1].location, "the period does not end after it begins; a later end expected");
         return true;
       }
     }
-  } else if (statement.says == Says::kDaily) {
-    return AddDaily(statement, change, ration, places);
+  } else if (statement.kind == StatementKind::kDaily) {
+    return AddDaily(statement, rate_override, quota, locations);
   }
-  return AddOne(statement, change, ration, places);
+  return AddOne(statement, rate_override, quota, locations);
 }
 
-bool ChangeReader::AddOne(const Statement& statement, const RateOverride& change, Quota& ration,
-                          RationPlaces& places) {
-  if (ration.overrides.size() == kMaxOverridesPerQuota || changes_ == kMaxOverrides) {
-    faults_.Add(statement.at,
-                fmt::format("too many changes, daily hours counted by the day; at most {} of a ration "
+bool OverrideCompiler::AddOne(const Statement& statement, const RateOverride& rate_override, Quota& quota,
+                              QuotaLocations& locations) {
+  if (quota.overrides.size() == kMaxOverridesPerQuota || total_overrides_ == kMaxOverrides) {
+    errors_.Add(statement.location,
+                fmt::format("too many changes, with one for each day of daily hours; at most {} of a ration "
                             "and {} of a book expected",
                             kMaxOverridesPerQuota, kMaxOverrides));
     return false;
   }
-  ++changes_;
-  ration.overrides.push_back(change);
-  places.changes.push_back({statement.at, statement.rate.at, statement.burst.at});
+  ++total_overrides_;
+  quota.overrides.push_back(rate_override);
+  locations.overrides.push_back({statement.location, statement.rate.location, statement.burst.location});
   return true;
 }
 
-bool ChangeReader::AddDaily(const Statement& statement, RateOverride change, Quota& ration,
-                            RationPlaces& places) {
-  const Hour &from = statement.hours[0], &to = statement.hours[1];
-  auto clock = [](const Hour& h) { return (h.hour * 60 + h.minute) * 60 + h.second; };
-  auto date = [](const Day& d) { return (d.year * 16 + d.month) * 32 + d.day; };
-  if (clock(to) <= clock(from)) {
-    faults_.Add(to.at, "the hours end before they begin, or as they do; a later end expected, up to 24:00");
+bool OverrideCompiler::AddDaily(const Statement& statement, RateOverride rate_override, Quota& quota,
+                                QuotaLocations& locations) {
+  const TimeOfDay &from = statement.times[0], &to = statement.times[1];
+  auto seconds = [](const TimeOfDay& h) { return (h.hour * 60 + h.minute) * 60 + h.second; };
+  auto ordinal = [](const Date& d) { return (d.year * 16 + d.month) * 32 + d.day; };
+  if (seconds(to) <= seconds(from)) {
+    errors_.Add(to.location, "the hours do not end after they begin; a later end expected, up to 24:00");
     return true;
   }
-  if (date(statement.days[1]) < date(statement.days[0])) {
-    faults_.Add(statement.days[1].at, "the days end before they begin; the same day or a later one expected");
+  if (ordinal(statement.dates[1]) < ordinal(statement.dates[0])) {
+    errors_.Add(statement.dates[1].location,
+                "the days end before they begin; the same day or a later one expected");
     return true;
   }
-  bool any = false;
-  for (Day day = statement.days[0]; date(day) <= date(statement.days[1]); day = DayAfter(day)) {
-    change.from_s = zone_->UnixOf(day, from);
-    change.to_s = zone_->UnixOf(day, to);
-    if (change.to_s <= change.from_s) continue;  // clocks are put forward over all of it
-    any = true;
-    if (!AddOne(statement, change, ration, places)) return false;
+  bool added = false;
+  for (Date day = statement.dates[0]; ordinal(day) <= ordinal(statement.dates[1]); day = NextDate(day)) {
+    rate_override.from_s = time_zone_->ToUnixSeconds(day, from);
+    rate_override.to_s = time_zone_->ToUnixSeconds(day, to);
+    if (rate_override.to_s <= rate_override.from_s) continue;  // the change of clocks skips all of it
+    added = true;
+    if (!AddOne(statement, rate_override, quota, locations)) return false;
   }
-  if (!any) faults_.Add(from.at, "clocks are put forward over these hours; hours that there are expected");
+  if (!added)
+    errors_.Add(from.location,
+                "clocks are put forward over these hours on each of the days; other hours expected");
   return true;
 }
 
--- a/src/rations/quota_config_overrides.h
+++ b/src/rations/quota_config_overrides.h
@@ -1,4 +1,4 @@
-// Amounts, and when they are others: a ration's statements of them as paces and changes of the table.
+// Compiles rates, bursts and rate overrides.
 #pragma once
 
 #include <cstddef>
@@ -9,24 +9,28 @@
 
 namespace peatbend::rations::book {
 
-class ChangeReader {
+class OverrideCompiler {
  public:
-  // `faults` must outlive it. No zone stated: UTC.
-  ChangeReader(const std::optional<Word>& zone, Faults& faults);
+  // `errors` must outlive the compiler. Without `time_zone` local times are UTC.
+  OverrideCompiler(const std::optional<LocatedText>& time_zone, ErrorList& errors);
 
-  double Rate(const Amount& amount);
-  double Burst(const Amount& amount);
-  // False where there are too many, and no more are to be read.
-  bool Add(const Statement& statement, Quota& ration, RationPlaces& places);
+  // Both return the value, after adding an error if it is out of range.
+  double CheckedRate(const LocatedNumber& rate);
+  double CheckedBurst(const LocatedNumber& burst);
+  // Appends the overrides of `statement` to `quota`. Returns false if the limit on overrides was exceeded;
+  // the caller must not add more to this quota.
+  bool Add(const Statement& statement, Quota& quota, QuotaLocations& locations);
 
  private:
-  bool GoodTimes(const Statement& statement);
-  bool AddOne(const Statement& statement, const RateOverride& change, Quota& ration, RationPlaces& places);
-  bool AddDaily(const Statement& statement, RateOverride change, Quota& ration, RationPlaces& places);
-
-  Faults& faults_;
-  std::optional<Zone> zone_;
-  std::size_t changes_ = 0;
+  bool CheckTimes(const Statement& statement);
+  bool AddOne(const Statement& statement, const RateOverride& rate_override, Quota& quota,
+              QuotaLocations& locations);
+  bool AddDaily(const Statement& statement, RateOverride rate_override, Quota& quota,
+                QuotaLocations& locations);
+
+  ErrorList& errors_;
+  std::optional<TimeZone> time_zone_;
+  std::size_t total_overrides_ = 0;
 };
 
 }  // namespace peatbend::rations::book
--- a/src/rations/quota_config_parse.cpp
+++ b/src/rations/quota_config_parse.cpp
@@ -1,4 +1,4 @@
-// From text to statements: what PEGTL does when a rule of the grammar has matched, or had to and did not.
+// The parser from text to the syntax tree: the PEGTL actions, and the error messages of the grammar's rules.
 #include <fmt/format.h>
 
 #include <cctype>
@@ -12,50 +12,51 @@
 
 namespace p = tao::pegtl;
 
-class Reading {
+class ParserState {
  public:
-  Reading(Faults& faults, int reads) : faults_(faults), reads_(reads) {}
+  ParserState(ErrorList& errors, int max_language_version)
+      : errors_(errors), max_language_version_(max_language_version) {}
 
-  void Begin(Says says, Place at) {
-    now_ = {};
-    now_.says = says;
-    now_.at = at;
+  void BeginStatement(StatementKind kind, SourceLocation location) {
+    statement_ = {};
+    statement_.kind = kind;
+    statement_.location = location;
   }
-  void End() { book.rations.back().statements.push_back(std::move(now_)); }
-  void Count(Item item, Place at) {
-    now_.counted.emplace_back();
-    now_.counted.back().item = item;
-    now_.counted.back().at = at;
+  void EndStatement() { ast.quotas.back().statements.push_back(std::move(statement_)); }
+  void AddSelector(SelectorKind kind, SourceLocation location) {
+    statement_.selectors.emplace_back();
+    statement_.selectors.back().kind = kind;
+    statement_.selectors.back().location = location;
   }
-  void Ration(Word name) { book.rations.emplace_back().name = std::move(name); }
-  void Name(Word name) { now_.counted.back().names.push_back(std::move(name)); }
-  void Number(Amount amount) { number_ = amount; }
-  void Rate(double seconds) { now_.rate = {number_.at, number_.value / seconds}; }
-  void Burst() { now_.burst = number_; }
-  void Characters() { now_.counted.back().characters = number_; }
-  Statement& now() { return now_; }
-  int reads() const { return reads_; }
-  Faults& faults() { return faults_; }
+  void BeginQuota(LocatedText name) { ast.quotas.emplace_back().name = std::move(name); }
+  void AddName(LocatedText name) { statement_.selectors.back().names.push_back(std::move(name)); }
+  void SetNumber(LocatedNumber number) { number_ = number; }
+  void SetRate(double seconds) { statement_.rate = {number_.location, number_.value / seconds}; }
+  void SetBurst() { statement_.burst = number_; }
+  void SetPrefixLength() { statement_.selectors.back().prefix_length = number_; }
+  Statement& statement() { return statement_; }
+  int max_language_version() const { return max_language_version_; }
+  ErrorList& errors() { return errors_; }
 
-  BookText book;
+  QuotaConfigAst ast;
 
  private:
-  Faults& faults_;
-  const int reads_;
-  Statement now_;
-  Amount number_;
+  ErrorList& errors_;
+  const int max_language_version_;
+  Statement statement_;
+  LocatedNumber number_;
 };
 
-struct Stop {};  // nothing more is to be read
+struct StopParsing {};  // thrown after an error that makes the rest meaningless
 
 template <typename Input>
-Place At(const Input& in) {
-  auto at = in.position();
-  return {static_cast<int>(at.line), static_cast<int>(at.column)};
+SourceLocation LocationOf(const Input& in) {
+  auto position = in.position();
+  return {static_cast<int>(position.line), static_cast<int>(position.column)};
 }
 
-// What stands there, short enough for a message.
-std::string Found(const char* begin, const char* end) {
+// Quotes the start of the unexpected input, at most 30 bytes, for an error message.
+std::string FormatFound(const char* begin, const char* end) {
   if (begin == end) return "the end of the book";
   std::string text;
   for (; begin != end && text.size() < 30; ++begin) {
@@ -72,15 +73,15 @@
 template <typename Rule>
 struct Control : p::normal<Rule> {
   template <typename Input>
-  [[noreturn]] static void raise(const Input& in, Reading& reading) {
+  [[noreturn]] static void raise(const Input& in, ParserState& state) {
     std::string_view expected = "something else";
     if constexpr (requires { Rule::expected; }) expected = Rule::expected;
-    // The end of the text, met after another fault, is no news.
-    if (!in.empty() || reading.faults().list.empty()) {
-      reading.faults().Add(At(in),
-                           fmt::format("{} expected, found {}", expected, Found(in.current(), in.end())));
+    // After an error, the end of the text is reached as a consequence and is not reported again.
+    if (!in.empty() || state.errors().entries.empty()) {
+      state.errors().Add(LocationOf(in),
+                         fmt::format("{} expected, found {}", expected, FormatFound(in.current(), in.end())));
     }
-    if (reading.faults().full()) throw Stop();
+    if (state.errors().full()) throw StopParsing();
     throw p::parse_error("", in);
   }
 };
@@ -112,203 +113,226 @@
 template <typename Rule>
 struct Action : p::nothing<Rule> {};
 
-template <Says kSays>
-struct Begins {
+template <StatementKind kKind>
+struct BeginsStatement {
   template <typename Input>
-  static void apply(const Input& in, Reading& reading) {
-    reading.Begin(kSays, At(in));
+  static void apply(const Input& in, ParserState& state) {
+    state.BeginStatement(kKind, LocationOf(in));
   }
 };
 template <>
-struct Action<g::counts_word> : Begins<Says::kCounts> {};
+struct Action<g::counts_word> : BeginsStatement<StatementKind::kCounts> {};
 template <>
-struct Action<g::rate_word> : Begins<Says::kRate> {};
+struct Action<g::rate_word> : BeginsStatement<StatementKind::kRate> {};
 template <>
-struct Action<g::burst_word> : Begins<Says::kBurst> {};
+struct Action<g::burst_word> : BeginsStatement<StatementKind::kBurst> {};
 template <>
-struct Action<g::hard_word> : Begins<Says::kHard> {};
+struct Action<g::hard_word> : BeginsStatement<StatementKind::kHard> {};
 template <>
-struct Action<g::soft_word> : Begins<Says::kSoft> {};
+struct Action<g::soft_word> : BeginsStatement<StatementKind::kSoft> {};
 template <>
-struct Action<g::borrows_word> : Begins<Says::kBorrows> {};
+struct Action<g::borrows_word> : BeginsStatement<StatementKind::kBorrows> {};
 template <>
-struct Action<g::over_word> : Begins<Says::kOver> {};
+struct Action<g::over_word> : BeginsStatement<StatementKind::kOverLimit> {};
 template <>
-struct Action<g::from_word> : Begins<Says::kPeriod> {};
+struct Action<g::from_word> : BeginsStatement<StatementKind::kPeriod> {};
 template <>
-struct Action<g::until_word> : Begins<Says::kUntil> {};
+struct Action<g::until_word> : BeginsStatement<StatementKind::kUntil> {};
 template <>
-struct Action<g::daily_word> : Begins<Says::kDaily> {};
+struct Action<g::daily_word> : BeginsStatement<StatementKind::kDaily> {};
 template <>
-struct Action<g::while_word> : Begins<Says::kWhile> {};
+struct Action<g::while_word> : BeginsStatement<StatementKind::kWhile> {};
 
-struct Ends {
-  static void apply0(Reading& reading) { reading.End(); }
+struct EndsStatement {
+  static void apply0(ParserState& state) { state.EndStatement(); }
 };
 template <>
-struct Action<g::end> : Ends {};
+struct Action<g::end> : EndsStatement {};
 template <>
-struct Action<g::list_end> : Ends {};
+struct Action<g::list_end> : EndsStatement {};
 
-template <Item kItem>
-struct Counts {
+template <SelectorKind kKind>
+struct AddsSelector {
   template <typename Input>
-  static void apply(const Input& in, Reading& reading) {
-    reading.Count(kItem, At(in));
+  static void apply(const Input& in, ParserState& state) {
+    state.AddSelector(kKind, LocationOf(in));
   }
 };
 template <>
-struct Action<g::everything_word> : Counts<Item::kEverything> {};
+struct Action<g::everything_word> : AddsSelector<SelectorKind::kEverything> {};
 template <>
-struct Action<g::reads_word> : Counts<Item::kReads> {};
+struct Action<g::reads_word> : AddsSelector<SelectorKind::kReads> {};
 template <>
-struct Action<g::writes_word> : Counts<Item::kWrites> {};
+struct Action<g::writes_word> : AddsSelector<SelectorKind::kWrites> {};
 template <>
-struct Action<g::firsts_word> : Counts<Item::kFirsts> {};
+struct Action<g::firsts_word> : AddsSelector<SelectorKind::kFirstTries> {};
 template <>
-struct Action<g::repeats_word> : Counts<Item::kRepeats> {};
+struct Action<g::repeats_word> : AddsSelector<SelectorKind::kRetries> {};
 template <>
-struct Action<g::class_word> : Counts<Item::kClasses> {};
+struct Action<g::class_word> : AddsSelector<SelectorKind::kClasses> {};
 template <>
-struct Action<g::franchisee_word> : Counts<Item::kTenants> {};
+struct Action<g::franchisee_word> : AddsSelector<SelectorKind::kTenants> {};
 template <>
-struct Action<g::each_franchisee> : Counts<Item::kEachTenant> {};
+struct Action<g::each_franchisee> : AddsSelector<SelectorKind::kEachTenant> {};
 template <>
-struct Action<g::each_class> : Counts<Item::kEachClass> {};
+struct Action<g::each_class> : AddsSelector<SelectorKind::kEachClass> {};
 template <>
-struct Action<g::each_shop> : Counts<Item::kEachClient> {};
+struct Action<g::each_shop> : AddsSelector<SelectorKind::kEachClient> {};
 template <>
-struct Action<g::each_key> : Counts<Item::kEachKeyGroup> {};
+struct Action<g::each_key> : AddsSelector<SelectorKind::kEachKeyPrefix> {};
 
-template <auto kChange>
-struct Does {
-  static void apply0(Reading& reading) { kChange(reading); }
+template <auto kFunction>
+struct Calls {
+  static void apply0(ParserState& state) { kFunction(state); }
 };
 template <>
-struct Action<g::alone_reject> : Does<[](Reading& r) { r.now().alone = WhenUnreachable::kReject; }> {};
+struct Action<g::alone_reject>
+    : Calls<[](ParserState& r) { r.statement().when_unreachable = WhenUnreachable::kReject; }> {};
 template <>
-struct Action<g::alone_own> : Does<[](Reading& r) { r.now().alone = WhenUnreachable::kOwnShare; }> {};
+struct Action<g::alone_own>
+    : Calls<[](ParserState& r) { r.statement().when_unreachable = WhenUnreachable::kOwnShare; }> {};
 template <>
-struct Action<g::alone_open> : Does<[](Reading& r) { r.now().alone = WhenUnreachable::kAdmit; }> {};
+struct Action<g::alone_open>
+    : Calls<[](ParserState& r) { r.statement().when_unreachable = WhenUnreachable::kAdmit; }> {};
 template <>
-struct Action<g::over_reject> : Does<[](Reading& r) { r.now().over = OverLimitAction::kReject; }> {};
+struct Action<g::over_reject>
+    : Calls<[](ParserState& r) { r.statement().over_limit = OverLimitAction::kReject; }> {};
 template <>
-struct Action<g::over_rank> : Does<[](Reading& r) { r.now().over = OverLimitAction::kLowerPriority; }> {};
+struct Action<g::over_rank>
+    : Calls<[](ParserState& r) { r.statement().over_limit = OverLimitAction::kLowerPriority; }> {};
 template <>
-struct Action<g::over_count> : Does<[](Reading& r) { r.now().over = OverLimitAction::kCountOnly; }> {};
+struct Action<g::over_count>
+    : Calls<[](ParserState& r) { r.statement().over_limit = OverLimitAction::kCountOnly; }> {};
 template <>
-struct Action<g::sign_origin> : Does<[](Reading& r) { r.now().signs |= kOriginOverloaded; }> {};
+struct Action<g::condition_origin>
+    : Calls<[](ParserState& r) { r.statement().conditions |= kOriginOverloaded; }> {};
 template <>
-struct Action<g::sign_zone> : Does<[](Reading& r) { r.now().signs |= kZoneLost; }> {};
+struct Action<g::condition_zone> : Calls<[](ParserState& r) { r.statement().conditions |= kZoneLost; }> {};
 template <>
-struct Action<g::second_word> : Does<[](Reading& r) { r.Rate(1); }> {};
+struct Action<g::second_word> : Calls<[](ParserState& r) { r.SetRate(1); }> {};
 template <>
-struct Action<g::minute_word> : Does<[](Reading& r) { r.Rate(60); }> {};
+struct Action<g::minute_word> : Calls<[](ParserState& r) { r.SetRate(60); }> {};
 template <>
-struct Action<g::hour_word> : Does<[](Reading& r) { r.Rate(3600); }> {};
+struct Action<g::hour_word> : Calls<[](ParserState& r) { r.SetRate(3600); }> {};
 template <>
-struct Action<g::burst_number> : Does<[](Reading& r) { r.Burst(); }> {};
+struct Action<g::burst_number> : Calls<[](ParserState& r) { r.SetBurst(); }> {};
 template <>
-struct Action<g::characters_number> : Does<[](Reading& r) { r.Characters(); }> {};
+struct Action<g::characters_number> : Calls<[](ParserState& r) { r.SetPrefixLength(); }> {};
 
-template <auto kTake>
-struct Takes {
+template <auto kFunction>
+struct CallsWithText {
   template <typename Input>
-  static void apply(const Input& in, Reading& reading) {
-    kTake(reading, At(in), in.string_view());
+  static void apply(const Input& in, ParserState& state) {
+    kFunction(state, LocationOf(in), in.string_view());
   }
 };
-using View = std::string_view;
 template <>
-struct Action<g::plain_text> : Takes<[](Reading& r, Place at, View t) {
-  r.Name({at, std::string(t)});
-}> {};
-template <>
-struct Action<g::quoted_text> : Takes<[](Reading& r, Place at, View t) {
-  r.Name({at, Unquote(t)});
-}> {};
-template <>
-struct Action<g::ration_text> : Takes<[](Reading& r, Place at, View t) {
-  if (r.book.rations.size() == kMaxQuotas) {
-    r.faults().Add(at, fmt::format("more than {} rations", kMaxQuotas));
-    throw Stop();
-  }
-  r.Ration({at, std::string(t)});
-}> {};
-template <>
-struct Action<g::inside_text> : Takes<[](Reading& r, Place at, View t) {
-  r.book.rations.back().inside = Word{at, std::string(t)};
-}> {};
-template <>
-struct Action<g::zone_text> : Takes<[](Reading& r, Place at, View t) {
-  r.book.zone = Word{at, std::string(t)};
-}> {};
-template <>
-struct Action<g::version_text> : Takes<[](Reading& r, Place at, View t) {
-  r.book.reads = ToInt(t);
-  if (r.book.reads >= 1 && r.book.reads <= r.reads()) return;
-  r.faults().Add(at, fmt::format("the book needs version {} of the language; this program reads version{} {}",
-                                 t.substr(0, 20), r.reads() > 1 ? "s 1 to" : "", r.reads()));
-  throw Stop();
-}> {};
-template <>
-struct Action<g::retire_word> : Takes<[](Reading& r, Place at, View) {
-  if (r.book.reads < 2) {
-    r.faults().Add(
-        at, fmt::format("'retire' is of version 2 of the language, and the book reads {}", r.book.reads));
-    throw Stop();
+struct Action<g::plain_text>
+    : CallsWithText<[](ParserState& r, SourceLocation location, std::string_view text) {
+      r.AddName({location, std::string(text)});
+    }> {};
+template <>
+struct Action<g::quoted_text>
+    : CallsWithText<[](ParserState& r, SourceLocation location, std::string_view text) {
+      r.AddName({location, Unquote(text)});
+    }> {};
+template <>
+struct Action<g::ration_text>
+    : CallsWithText<[](ParserState& r, SourceLocation location, std::string_view text) {
+      if (r.ast.quotas.size() == kMaxQuotas) {
+        r.errors().Add(location, fmt::format("more than {} rations", kMaxQuotas));
+        throw StopParsing();
+      }
+      r.BeginQuota({location, std::string(text)});
+    }> {};
+template <>
+struct Action<g::inside_text>
+    : CallsWithText<[](ParserState& r, SourceLocation location, std::string_view text) {
+      r.ast.quotas.back().parent = LocatedText{location, std::string(text)};
+    }> {};
+template <>
+struct Action<g::zone_text>
+    : CallsWithText<[](ParserState& r, SourceLocation location, std::string_view text) {
+      r.ast.time_zone = LocatedText{location, std::string(text)};
+    }> {};
+template <>
+struct Action<g::version_text>
+    : CallsWithText<[](ParserState& r, SourceLocation location, std::string_view text) {
+      r.ast.language_version = ToInt(text);
+      if (r.ast.language_version >= 1 && r.ast.language_version <= r.max_language_version()) return;
+      r.errors().Add(location,
+                     fmt::format("the book needs version {} of the language; this program reads version{} {}",
+                                 text.substr(0, 20), r.max_language_version() > 1 ? "s 1 to" : "",
+                                 r.max_language_version()));
+      throw StopParsing();
+    }> {};
+template <>
+struct Action<g::retire_word> : CallsWithText<[](ParserState& r, SourceLocation location, std::string_view) {
+  if (r.ast.language_version < 2) {
+    r.errors().Add(location, fmt::format("'retire' needs version 2 of the language, and the book reads {}",
+                                         r.ast.language_version));
+    throw StopParsing();
   }
-  if (r.book.retired.size() == kMaxRetiredReaders) {
-    r.faults().Add(at, fmt::format("more than {} readers retired", kMaxRetiredReaders));
-    throw Stop();
+  if (r.ast.retired_readers.size() == kMaxRetiredReaders) {
+    r.errors().Add(location, fmt::format("more than {} readers retired", kMaxRetiredReaders));
+    throw StopParsing();
   }
-  r.book.retired.emplace_back();
+  r.ast.retired_readers.emplace_back();
 }> {};
 template <>
-struct Action<g::reader_plain> : Takes<[](Reading& r, Place at, View t) {
-  r.book.retired.back().reader = {at, std::string(t)};
-}> {};
-template <>
-struct Action<g::reader_quoted> : Takes<[](Reading& r, Place at, View t) {
-  r.book.retired.back().reader = {at, Unquote(t)};
-}> {};
-template <>
-struct Action<g::statement_text> : Takes<[](Reading& r, Place at, View t) {
-  if (!ParseNumber(t, r.book.retired.back().statement)) r.faults().Add(at, "the number is too large");
-}> {};
-template <>
-struct Action<g::why_text> : Takes<[](Reading& r, Place at, View t) {
-  r.book.retired.back().why = {at, Unquote(t)};
-}> {};
-template <>
-struct Action<g::number_text> : Takes<[](Reading& r, Place at, View t) {
-  Amount amount{at, 0};
-  if (!ParseNumber(t, amount.value)) r.faults().Add(at, "the number is too large");
-  r.Number(amount);
-}> {};
-template <>
-struct Action<g::day_text> : Takes<[](Reading& r, Place at, View t) {
-  r.now().days.push_back({at, ToInt(t.substr(0, 4)), ToInt(t.substr(5, 2)), ToInt(t.substr(8, 2))});
-}> {};
-template <>
-struct Action<g::clock_text> : Takes<[](Reading& r, Place at, View t) {
-  int second = t.size() == 8 ? ToInt(t.substr(6, 2)) : 0;
-  r.now().hours.push_back({at, ToInt(t.substr(0, 2)), ToInt(t.substr(3, 2)), second});
-}> {};
+struct Action<g::reader_plain>
+    : CallsWithText<[](ParserState& r, SourceLocation location, std::string_view text) {
+      r.ast.retired_readers.back().reader = {location, std::string(text)};
+    }> {};
+template <>
+struct Action<g::reader_quoted>
+    : CallsWithText<[](ParserState& r, SourceLocation location, std::string_view text) {
+      r.ast.retired_readers.back().reader = {location, Unquote(text)};
+    }> {};
+template <>
+struct Action<g::statement_text>
+    : CallsWithText<[](ParserState& r, SourceLocation location, std::string_view text) {
+      if (!ParseNumber(text, r.ast.retired_readers.back().statement))
+        r.errors().Add(location, "the number is too large");
+    }> {};
+template <>
+struct Action<g::reason_text>
+    : CallsWithText<[](ParserState& r, SourceLocation location, std::string_view text) {
+      r.ast.retired_readers.back().reason = {location, Unquote(text)};
+    }> {};
+template <>
+struct Action<g::number_text>
+    : CallsWithText<[](ParserState& r, SourceLocation location, std::string_view text) {
+      LocatedNumber number{location, 0};
+      if (!ParseNumber(text, number.value)) r.errors().Add(location, "the number is too large");
+      r.SetNumber(number);
+    }> {};
+template <>
+struct Action<g::date_text>
+    : CallsWithText<[](ParserState& r, SourceLocation location, std::string_view text) {
+      r.statement().dates.push_back(
+          {location, ToInt(text.substr(0, 4)), ToInt(text.substr(5, 2)), ToInt(text.substr(8, 2))});
+    }> {};
+template <>
+struct Action<g::time_text>
+    : CallsWithText<[](ParserState& r, SourceLocation location, std::string_view text) {
+      int second = text.size() == 8 ? ToInt(text.substr(6, 2)) : 0;
+      r.statement().times.push_back({location, ToInt(text.substr(0, 2)), ToInt(text.substr(3, 2)), second});
+    }> {};
 
 }  // namespace
 
-BookText ParseBook(std::string_view text, Faults& faults, int reads) {
-  Reading reading(faults, reads);
+QuotaConfigAst ParseAst(std::string_view text, ErrorList& errors, int max_language_version) {
+  ParserState state(errors, max_language_version);
   p::memory_input<> in(text.data(), text.data() + text.size(), "");
   try {
-    p::parse<g::book, Action, Control>(in, reading);
+    p::parse<g::quota_config, Action, Control>(in, state);
   } catch (const p::parse_error&) {
-    // Its fault has been noted where it arose.
-  } catch (const Stop&) {
-    // So has this one.
+    // Control::raise has added the error.
+  } catch (const StopParsing&) {
+    // The error was added before.
   }
-  return std::move(reading.book);
+  return std::move(state.ast);
 }
 
 }  // namespace peatbend::rations::book
--- a/src/rations/quota_config_times.h
+++ b/src/rations/quota_config_times.h
@@ -1,4 +1,5 @@
-// Local times of a book's time zone as Unix time, by the system's tzdata.
+// Converts local dates and times of a quota configuration's time zone to Unix time, using the system's
+// tzdata.
 #pragma once
 
 #include <cstdint>
@@ -13,27 +14,27 @@
 
 namespace peatbend::rations::book {
 
-// tzdata as it is installed lists changes of clocks up to then; without them later times would be off.
+// The installed tzdata lists clock changes up to 2037 only; later times would be off by them.
 constexpr int kFirstYear = 1970, kLastYear = 2037;
 
-class Zone {
+class TimeZone {
  public:
-  // Null if there is none of that name.
-  static std::optional<Zone> Named(const std::string& name);
-  static std::vector<std::string> Names();
+  // Returns nothing if the name is unknown.
+  static std::optional<TimeZone> Find(const std::string& name);
+  static std::vector<std::string> AllNames();
 
-  // A local time that clocks put forward leave out is the moment at which they are; of two that are the same
-  // since clocks were put back, it is the first. The hour may be 24:00.
-  std::int64_t UnixOf(const Day& day, const Hour& hour) const;
+  // A local time skipped when clocks are put forward maps to the moment of the change. Of the two moments
+  // with the same local time when clocks are put back, returns the first. The time may be 24:00.
+  std::int64_t ToUnixSeconds(const Date& day, const TimeOfDay& time) const;
 
  private:
-  explicit Zone(const date::time_zone* zone) : zone_(zone) {}
-  const date::time_zone* zone_;  // lives as long as the process; null: UTC
+  explicit TimeZone(const date::time_zone* zone) : zone_(zone) {}
+  const date::time_zone* zone_;  // static lifetime; null: UTC
 };
 
-bool IsDay(const Day& day);
-Day DayAfter(const Day& day);
-// "2027-04-26 06:00", in UTC, with seconds if there are any.
-std::string UtcText(std::int64_t unix_s);
+bool IsValidDate(const Date& day);
+Date NextDate(const Date& day);
+// Formats as "2027-04-26 06:00" in UTC, with seconds only if they are not 0.
+std::string FormatUtc(std::int64_t unix_s);
 
 }  // namespace peatbend::rations::book
--- a/src/rations/quota_table.cpp
+++ b/src/rations/quota_table.cpp
@@ -8,46 +8,48 @@
 namespace peatbend::rations {
 namespace {
 
-bool Has(const std::vector<int>& sorted, int one) {
-  return sorted.empty() || std::ranges::binary_search(sorted, one);
+// An empty list contains every value.
+bool Contains(const std::vector<int>& sorted, int value) {
+  return sorted.empty() || std::ranges::binary_search(sorted, value);
 }
 
-bool Counts(const Quota& ration, const RequestAttributes& asked) {
-  bool kind = ration.access == AccessKind::kAny || (ration.access == AccessKind::kWrites) == asked.write;
-  bool turn = ration.try_kind == TryKind::kAny || (ration.try_kind == TryKind::kRetry) == asked.retry;
-  return kind && turn && Has(ration.tenants, asked.tenant) && Has(ration.classes, asked.cls);
+bool Matches(const Quota& quota, const RequestAttributes& request) {
+  bool access = quota.access == AccessKind::kAny || (quota.access == AccessKind::kWrites) == request.write;
+  bool try_kind = quota.try_kind == TryKind::kAny || (quota.try_kind == TryKind::kRetry) == request.retry;
+  return access && try_kind && Contains(quota.tenants, request.tenant) &&
+         Contains(quota.classes, request.cls);
 }
 
-// A key's beginning counts by a hash of its own, so that what is hashed has one length.
-std::uint64_t HashOf(std::size_t number, const Quota& ration, const RequestAttributes& asked) {
-  if (ration.bucket_key == kSingleBucket) return 0;
-  std::uint64_t facts[5] = {number};
-  if ((ration.bucket_key & kPerTenant) != 0) facts[1] = static_cast<std::uint64_t>(asked.tenant) + 2;
-  if ((ration.bucket_key & kPerClass) != 0) facts[2] = static_cast<std::uint64_t>(asked.cls) + 1;
-  if ((ration.bucket_key & kPerClient) != 0) facts[3] = asked.client;
-  if ((ration.bucket_key & kPerKeyPrefix) != 0) {
-    std::string_view group =
-        asked.key.substr(0, static_cast<std::size_t>(std::max(ration.key_prefix_length, 0)));
-    facts[4] = XXH3_64bits(group.data(), group.size());
+// The key prefix goes in as a hash of its own, so that the hashed values have a fixed size.
+std::uint64_t BucketKeyHash(std::size_t index, const Quota& quota, const RequestAttributes& request) {
+  if (quota.bucket_key == kSingleBucket) return 0;
+  std::uint64_t values[5] = {index};
+  if ((quota.bucket_key & kPerTenant) != 0) values[1] = static_cast<std::uint64_t>(request.tenant) + 2;
+  if ((quota.bucket_key & kPerClass) != 0) values[2] = static_cast<std::uint64_t>(request.cls) + 1;
+  if ((quota.bucket_key & kPerClient) != 0) values[3] = request.client;
+  if ((quota.bucket_key & kPerKeyPrefix) != 0) {
+    std::string_view prefix =
+        request.key.substr(0, static_cast<std::size_t>(std::max(quota.key_prefix_length, 0)));
+    values[4] = XXH3_64bits(prefix.data(), prefix.size());
   }
-  return XXH3_64bits(facts, sizeof facts);
+  return XXH3_64bits(values, sizeof values);
 }
 
 }  // namespace
 
-int QuotaTable::FindQuota(const RequestAttributes& asked) const {
-  int leaf = -1;
-  std::size_t deepest = 0;
+int QuotaTable::FindQuota(const RequestAttributes& request) const {
+  int innermost = -1;
+  std::size_t max_depth = 0;
   for (std::size_t i = 0; i < quotas.size(); ++i) {
-    if (!Counts(quotas[i], asked)) continue;
+    if (!Matches(quotas[i], request)) continue;
     std::size_t depth = 1;
-    for (int above = quotas[i].parent; above >= 0; above = quotas[static_cast<std::size_t>(above)].parent)
+    for (int parent = quotas[i].parent; parent >= 0; parent = quotas[static_cast<std::size_t>(parent)].parent)
       ++depth;
-    if (depth <= deepest) continue;
-    deepest = depth;
-    leaf = static_cast<int>(i);
+    if (depth <= max_depth) continue;
+    max_depth = depth;
+    innermost = static_cast<int>(i);
   }
-  return leaf;
+  return innermost;
 }
 
 void QuotaTable::BuildIndex(int tenants, int classes) {
@@ -62,41 +64,43 @@
   indexed_classes = classes;
 }
 
-BucketPath QuotaTable::BucketPathOf(const RequestAttributes& asked) const {
-  bool indexed =
-      asked.tenant >= -1 && asked.tenant < indexed_tenants && asked.cls >= 0 && asked.cls < indexed_classes;
-  int kind = (asked.write ? 2 : 0) + (asked.retry ? 1 : 0);
-  int at = ((asked.tenant + 1) * indexed_classes + asked.cls) * 4 + kind;
-  int ration = indexed ? quota_index[static_cast<std::size_t>(at)] : FindQuota(asked);
-  BucketPath chain;
-  while (ration >= 0 && chain.size < kMaxQuotaDepth) {
-    auto number = static_cast<std::size_t>(ration);
-    chain.buckets[chain.size++] = {static_cast<std::uint32_t>(ration), HashOf(number, quotas[number], asked)};
-    ration = quotas[number].parent;
+BucketPath QuotaTable::BucketPathOf(const RequestAttributes& request) const {
+  bool indexed = request.tenant >= -1 && request.tenant < indexed_tenants && request.cls >= 0 &&
+                 request.cls < indexed_classes;
+  int kind = (request.write ? 2 : 0) + (request.retry ? 1 : 0);
+  int at = ((request.tenant + 1) * indexed_classes + request.cls) * 4 + kind;
+  int quota = indexed ? quota_index[static_cast<std::size_t>(at)] : FindQuota(request);
+  BucketPath path;
+  while (quota >= 0 && path.size < kMaxQuotaDepth) {
+    auto index = static_cast<std::size_t>(quota);
+    path.buckets[path.size++] = {static_cast<std::uint32_t>(quota),
+                                 BucketKeyHash(index, quotas[index], request)};
+    quota = quotas[index].parent;
   }
-  return chain;
+  return path;
 }
 
-const TokenRate& QuotaTable::RateAt(std::size_t ration, std::int64_t unix_s, unsigned signs) const {
-  const Quota& one = quotas[ration];
-  for (const RateOverride& change : one.overrides) {
-    bool time = unix_s >= change.from_s && unix_s < change.to_s;
-    if (time && (change.conditions & signs) == change.conditions) return change.rate;
+const TokenRate& QuotaTable::RateAt(std::size_t quota, std::int64_t unix_s, unsigned conditions) const {
+  const Quota& entry = quotas[quota];
+  for (const RateOverride& rate_override : entry.overrides) {
+    bool in_period = unix_s >= rate_override.from_s && unix_s < rate_override.to_s;
+    if (in_period && (rate_override.conditions & conditions) == rate_override.conditions)
+      return rate_override.rate;
   }
-  return one.rate;
+  return entry.rate;
 }
 
-TokenRate QuotaTable::MaxRate(std::size_t ration) const {
-  TokenRate most = quotas[ration].rate;
-  for (const RateOverride& change : quotas[ration].overrides) {
-    most.per_second = std::max(most.per_second, change.rate.per_second);
-    most.burst = std::max(most.burst, change.rate.burst);
+TokenRate QuotaTable::MaxRate(std::size_t quota) const {
+  TokenRate max_rate = quotas[quota].rate;
+  for (const RateOverride& rate_override : quotas[quota].overrides) {
+    max_rate.per_second = std::max(max_rate.per_second, rate_override.rate.per_second);
+    max_rate.burst = std::max(max_rate.burst, rate_override.rate.burst);
   }
-  return most;
+  return max_rate;
 }
 
-double CreditLimit(const TokenRate& pace) {
-  return std::max(1.0, std::min(pace.per_second / 10, pace.burst));
+double CreditLimit(const TokenRate& rate) {
+  return std::max(1.0, std::min(rate.per_second / 10, rate.burst));
 }
 
 }  // namespace peatbend::rations
--- a/src/rations/quota_table.h
+++ b/src/rations/quota_table.h
@@ -1,5 +1,5 @@
-// A book of rations as the program uses it: flat, its names resolved to the deployment's numbers. book.h
-// reads one out of a text. Values; copied freely, read by any thread.
+// The compiled form of a quota configuration: flat, with names resolved to indexes into the settings.
+// quota_config.h compiles it from text. A value type; a constant table may be read by any thread.
 #pragma once
 
 #include <array>
@@ -13,23 +13,23 @@
 
 namespace peatbend::rations {
 
-// What is known of a request when its ration is asked. Views need to live only for the call.
+// The attributes of a request that quotas select by. The key is only used during the call.
 struct RequestAttributes {
-  int tenant = -1;  // index into the settings' tenants; any other: unnamed
+  int tenant = -1;  // index into the settings' tenants; any other value: no configured tenant
   int cls = 0;      // index into the settings' classes
   bool write = false, retry = false;
-  std::uint64_t client = 0;  // of its address, however hashed; the same at all routers
+  std::uint64_t client = 0;  // hash of the client's address; must be the same at all routers
   std::string_view key;
 };
 
 enum class AccessKind : std::uint8_t { kAny, kReads, kWrites };
 enum class TryKind : std::uint8_t { kAny, kFirst, kRetry };
 enum class OverLimitAction : std::uint8_t { kReject, kLowerPriority, kCountOnly };
-// What a soft ration does while nobody who keeps it answers.
+// What a soft quota does while the owner of its bucket is unreachable.
 enum class WhenUnreachable : std::uint8_t { kReject, kOwnShare, kAdmit };
-// What the fleet sees, as bits.
+// Conditions of the fleet, as bits.
 enum Condition : unsigned { kNoCondition = 0, kOriginOverloaded = 1, kZoneLost = 2 };
-// One bucket for each of these, as bits; none: one bucket for all that the ration counts.
+// Attributes that have separate buckets, as bits; none: all requests of the quota share one bucket.
 enum BucketKey : unsigned {
   kSingleBucket = 0,
   kPerTenant = 1,
@@ -39,15 +39,15 @@
 };
 
 struct TokenRate {
-  double per_second = 0;  // tokens a second
-  double burst = 0;       // tokens, at the least one
+  double per_second = 0;  // tokens
+  double burst = 0;       // tokens, at least 1
   bool operator==(const TokenRate&) const = default;
 };
 
-// Holds in place of the ration's own pace while its time has come and all of `signs` are seen; the first that
-// holds counts.
+// Replaces a quota's rate during a period while all of `conditions` hold. The first matching override
+// applies.
 struct RateOverride {
-  std::int64_t from_s = INT64_MIN, to_s = INT64_MAX;  // Unix time; up to, not with, to_s
+  std::int64_t from_s = INT64_MIN, to_s = INT64_MAX;  // Unix time; to_s is exclusive
   unsigned conditions = kNoCondition;
   TokenRate rate;
   bool operator==(const RateOverride&) const = default;
@@ -55,16 +55,16 @@
 
 struct Quota {
   std::string name;
-  std::vector<int> tenants, classes;  // whom it counts, sorted; empty: any
+  std::vector<int> tenants, classes;  // selected ones, sorted; empty: any
   AccessKind access = AccessKind::kAny;
   TryKind try_kind = TryKind::kAny;
   unsigned bucket_key = kSingleBucket;
-  int key_prefix_length = 0;  // kPerKeyGroup: so many characters of the key's beginning
+  int key_prefix_length = 0;  // for kPerKeyPrefix, in bytes
   TokenRate rate;
   std::vector<RateOverride> overrides;
-  int parent = -1;  // the ration that counts the same requests too; lower than its own number
+  int parent = -1;  // index of the enclosing quota, which counts these requests too; less than its own index
   bool hard = true;
-  bool borrows = false;  // what the others inside the same ration leave
+  bool borrows = false;  // may use what the enclosing quotas have to spare
   WhenUnreachable when_unreachable = WhenUnreachable::kReject;
   OverLimitAction over_limit = OverLimitAction::kReject;
   bool operator==(const Quota&) const = default;
@@ -72,11 +72,11 @@
 
 struct Bucket {
   std::uint32_t quota = 0;
-  std::uint64_t key_hash = 0;  // a hash of what `per` names; 0 without
+  std::uint64_t key_hash = 0;  // hash of the attributes in `bucket_key`; 0 for a single bucket
   auto operator<=>(const Bucket&) const = default;
 };
 
-// A reader of books that an operator says is no more, and which of its statements he saw.
+// A reader of quota configurations that an operator declared gone, and the last of its statements known then.
 struct RetiredReader {
   std::string reader;
   std::uint64_t statement = 0;
@@ -84,8 +84,8 @@
   bool operator==(const RetiredReader&) const = default;
 };
 
-constexpr std::size_t kMaxQuotaDepth = 4;  // rations that count one request
-// A request's buckets: of the ration that it belongs to first, then of those that this is inside of.
+constexpr std::size_t kMaxQuotaDepth = 4;  // quotas that count one request
+// The buckets of a request, from the innermost quota to the outermost.
 struct BucketPath {
   std::array<Bucket, kMaxQuotaDepth> buckets{};
   std::uint8_t size = 0;
@@ -94,33 +94,34 @@
 };
 
 struct QuotaTable {
-  int language_version = 1;  // the language's version that a reader must know
-  std::uint64_t fingerprint =
-      0;  // of the canonical form and the settings' names: equal for equal tables; 0: no book
+  int language_version = 1;  // the version that a reader must support
+  // Hash of the canonical form and of the settings' names in use: equal for equal tables; 0: no
+  // configuration.
+  std::uint64_t fingerprint = 0;
   std::vector<RetiredReader> retired_readers;
   std::vector<Quota> quotas;
 
-  // The request's chain; empty where no ration counts it. Allocates nothing. Of the rations that count it,
-  // the one furthest inside; book.h refuses books where that is not one.
-  BucketPath BucketPathOf(const RequestAttributes& asked) const;
-  // The pace in force at that time, under these signs.
-  const TokenRate& RateAt(std::size_t ration, std::int64_t unix_s, unsigned signs) const;
-  // The greatest rate and burst that any time or sign can bring.
-  TokenRate MaxRate(std::size_t ration) const;
+  // The buckets of the innermost quota that counts the request and of those around it; empty if none counts
+  // it. Does not allocate. quota_config.h rejects configurations in which the innermost quota is ambiguous.
+  BucketPath BucketPathOf(const RequestAttributes& request) const;
+  // The rate in force at that time under these conditions.
+  const TokenRate& RateAt(std::size_t quota, std::int64_t unix_s, unsigned conditions) const;
+  // The maximum rate and the maximum burst, over the quota and all its overrides.
+  TokenRate MaxRate(std::size_t quota) const;
 
-  // Makes ChainOf find the ration at once, for so many tenants and classes; once the rations stand. Without
-  // it, and beyond them, it looks through all.
+  // Builds an index for so many tenants and classes, which makes BucketPathOf a lookup; to be called after
+  // `quotas` is complete. Requests outside of the index are matched against all quotas.
   void BuildIndex(int tenants, int classes);
-  std::vector<int> quota_index;  // Index's: a ration or -1, by tenant + 1, class, write, repeat
+  std::vector<int> quota_index;  // a quota or -1, by tenant + 1, class, write, retry
   int indexed_tenants = 0, indexed_classes = 0;
 
  private:
-  int FindQuota(const RequestAttributes& asked) const;
+  int FindQuota(const RequestAttributes& request) const;
 };
 
-// So many tokens of a ration may one process have at the most, in hand or asked for: a tenth of a second's,
-// one at the least, its burst at the most. Part of what is promised: in any stretch of T seconds all routers
-// together admit at most burst + rate x T + processes x AheadOf(pace).
-double CreditLimit(const TokenRate& pace);
+// The tokens that one process may use or request ahead of a grant: a tenth of a second's, limited to the
+// burst, but at least 1. In any interval of T seconds all routers together admit at most burst + per_second *
+// T + processes * CreditLimit(rate).
+double CreditLimit(const TokenRate& rate);
 
 }  // namespace peatbend::rations
--- a/tests/fuzz/quota_config_fuzz.cpp
+++ b/tests/fuzz/quota_config_fuzz.cpp
@@ -1,5 +1,6 @@
-// Whatever stands in a book: refused with places that it has, or read; and what is read comes back the same
-// from its canonical form. Built with clang and libFuzzer (scripts/fuzz).
+// Fuzzes the quota configuration parser. Any text is either rejected with locations inside of it, or
+// accepted, and then its canonical form parses to an equal table. Built with clang and libFuzzer
+// (scripts/fuzz).
 #include <algorithm>
 #include <cstddef>
 #include <cstdint>
@@ -56,19 +57,19 @@
   QuotaTable table;
   try {
     table = ParseQuotaConfig(text, settings, "b");
-  } catch (const InvalidQuotaConfig& refused) {
+  } catch (const InvalidQuotaConfig& invalid) {
     auto lines = std::count(text.begin(), text.end(), '\n') + 1;
-    if (refused.errors().empty() || refused.errors().size() > kMaxQuotaConfigErrors) std::abort();
-    for (const QuotaConfigError& error : refused.errors()) {
+    if (invalid.errors().empty() || invalid.errors().size() > kMaxQuotaConfigErrors) std::abort();
+    for (const QuotaConfigError& error : invalid.errors()) {
       if (error.line < 1 || error.line > lines || error.column < 1 || error.message.empty()) std::abort();
     }
     return 0;
   }
-  std::string printed = FormatQuotaConfig(table, settings);
-  QuotaTable again = ParseQuotaConfig(printed, settings, "b");  // what it throws is found
+  std::string formatted = FormatQuotaConfig(table, settings);
+  QuotaTable again = ParseQuotaConfig(formatted, settings, "b");  // an exception is a finding
   if (again.quotas != table.quotas || again.retired_readers != table.retired_readers ||
       again.fingerprint != table.fingerprint || table.fingerprint == 0)
     std::abort();
-  if (FormatQuotaConfig(again, settings) != printed) std::abort();
+  if (FormatQuotaConfig(again, settings) != formatted) std::abort();
   return 0;
 }
--- a/tests/rations/office_test.cpp
+++ b/tests/rations/office_test.cpp
@@ -21,9 +21,9 @@
 // ---- A shard that is kept ---------------------------------------------------------------------------------
 
 struct Kept3 {
-  QuotaTable table = TableOf({Of({10, 100})});
+  QuotaTable table = MakeTable({MakeQuota({10, 100})});
   std::vector<Fence::To> out;
-  Kept kept{ShardOf(table.BucketPathOf(By(0))), Go{1, "k", 3, 1}, 0s, out};
+  Kept kept{ShardOf(table.BucketPathOf(RequestBy(0))), Go{1, "k", 3, 1}, 0s, out};
   std::vector<Seat> seats{Seat(11), Seat(12), Seat(13)};
   Kept3() {
     Carry();
@@ -36,11 +36,11 @@
   Message Draw(std::uint64_t number, std::uint32_t want, std::uint64_t drawer = 5) {
     Message draw;
     draw.kind = MessageKind::kDraw;
-    draw.shard = ShardOf(table.BucketPathOf(By(0)));
+    draw.shard = ShardOf(table.BucketPathOf(RequestBy(0)));
     draw.number = number;
     draw.drawer = drawer;
     draw.print = table.fingerprint;
-    draw.entries = {Want(table.BucketPathOf(By(0)), want)};
+    draw.entries = {EntryOf(table.BucketPathOf(RequestBy(0)), want)};
     return draw;
   }
 };
@@ -103,7 +103,7 @@
                                                  [](const std::string&) { return true; }));
   }
   static std::shared_ptr<const QuotaTable> Book(std::uint64_t print) {
-    QuotaTable made = TableOf({Of({100, 100})});
+    QuotaTable made = MakeTable({MakeQuota({100, 100})});
     made.fingerprint = print;
     return std::make_shared<const QuotaTable>(made);
   }
@@ -131,13 +131,13 @@
   Three at(1);
   at.Run(0s, 1s);
   CHECK(at.Keeper() == 3);
-  at.offices[1]->Take(1s, By(0));
+  at.offices[1]->Take(1s, RequestBy(0));
   at.Run(1s, 1s + 300ms);
   REQUIRE(at.Keeper() < 3);
   std::size_t kept = 0;
   for (auto& office : at.offices) kept += office->kept();
   CHECK(kept == 1);
-  CHECK(at.offices[1]->Take(1s + 300ms, By(0)).within);
+  CHECK(at.offices[1]->Take(1s + 300ms, RequestBy(0)).within);
 }
 
 // Two processes under a seat's name at once: the one that has not the seat's address.
@@ -149,12 +149,12 @@
   at.offices[0] = std::make_unique<Office>(options, seats, "a", 9, 9, at.table, 0s,
                                            [](const std::string&) { return true; });
   Message ask;
-  ask.shard = ShardOf(at.table->BucketPathOf(By(0)));
+  ask.shard = ShardOf(at.table->BucketPathOf(RequestBy(0)));
   ask.go = Go{1, "b", 7, 1};
   at.offices[0]->Take(0s, "b", ask);
   CHECK(at.offices[0]->TakeOut().empty());
-  for (int i = 0; i < 10; ++i) CHECK(at.offices[0]->Take(0s, By(0)).within);
-  CHECK_FALSE(at.offices[0]->Take(0s, By(0)).within);
+  for (int i = 0; i < 10; ++i) CHECK(at.offices[0]->Take(0s, RequestBy(0)).within);
+  CHECK_FALSE(at.offices[0]->Take(0s, RequestBy(0)).within);
   at.Run(0s, 4s);
   CHECK(at.offices[0]->kept() == 0);
   CHECK(at.Keeper() < 3);
@@ -163,7 +163,7 @@
 
 TEST_CASE("office: another book begins empty buckets, and is not served by a keeper of the former") {
   Three at(1);
-  at.offices[1]->Take(1s, By(0));
+  at.offices[1]->Take(1s, RequestBy(0));
   at.Run(1s, 2s + 60ms);
   std::size_t keeper = at.Keeper(), other = (keeper + 1) % 3;
   REQUIRE(keeper < 3);
@@ -171,7 +171,7 @@
   auto ask = [&](Time from, Time to) {
     int within = 0;
     for (Time now = from; now < to; now += 20ms) {
-      for (int i = 0; i < 50; ++i) within += at.offices[other]->Take(now, By(0)).within ? 1 : 0;
+      for (int i = 0; i < 50; ++i) within += at.offices[other]->Take(now, RequestBy(0)).within ? 1 : 0;
       at.Run(now, now + 20ms);
     }
     return within;
@@ -200,8 +200,8 @@
   bool on = true;
   words >> rate >> clients >> seats >> seconds >> on;
   double each = std::max(1.0, 15 * rate / static_cast<double>(clients));
-  auto table =
-      std::make_shared<const QuotaTable>(TableOf({Of({each, std::max(10.0, 2 * each)}, -1, kPerClient)}));
+  auto table = std::make_shared<const QuotaTable>(
+      MakeTable({MakeQuota({each, std::max(10.0, 2 * each)}, -1, kPerClient)}));
   std::vector<failover::ReplicaName> names;
   auto name = [](std::size_t i) { return "r" + std::to_string(i); };
   for (std::size_t i = 0; i < seats; ++i) names.push_back({name(i), "a"});
@@ -234,7 +234,7 @@
     for (; std::chrono::duration<double>(next) <= now; next += gap(random), ++asked) {
       std::size_t i = random() % 5;
       std::uint64_t client = random() % clients;
-      over += on && !offices[i]->Take(now, By(0, client)).within ? 1 : 0;
+      over += on && !offices[i]->Take(now, RequestBy(0, client)).within ? 1 : 0;
     }
     for (; !under_way.empty() && std::get<0>(under_way.front()) <= now; under_way.pop_front()) {
       auto& [at, to, said] = under_way.front();
--- a/tests/rations/parts_test.cpp
+++ b/tests/rations/parts_test.cpp
@@ -15,15 +15,15 @@
 using namespace test;
 
 TEST_CASE("table: a request counts in the ration furthest inside and in those around it") {
-  Quota all = Of({100, 10}), writes = Of({10, 5}, 0, kPerTenant),
-        gold = Of({5, 5}, 1, kPerClient | kPerKeyPrefix);
+  Quota all = MakeQuota({100, 10}), writes = MakeQuota({10, 5}, 0, kPerTenant),
+        gold = MakeQuota({5, 5}, 1, kPerClient | kPerKeyPrefix);
   writes.access = AccessKind::kWrites;
   gold.access = AccessKind::kWrites;
   gold.tenants = {1};
   gold.key_prefix_length = 2;
-  QuotaTable table = TableOf({all, writes, gold});
-  CHECK(table.BucketPathOf(By(1)).size == 1);
-  RequestAttributes write = By(1, 9, "abX");
+  QuotaTable table = MakeTable({all, writes, gold});
+  CHECK(table.BucketPathOf(RequestBy(1)).size == 1);
+  RequestAttributes write = RequestBy(1, 9, "abX");
   write.write = true;
   BucketPath chain = table.BucketPathOf(write);
   CHECK(chain.size == 3);
@@ -47,9 +47,9 @@
 }
 
 TEST_CASE("table: the first change that holds counts") {
-  Quota one = Of({100, 10});
+  Quota one = MakeQuota({100, 10});
   one.overrides = {{10, 20, kOriginOverloaded, {5, 1}}, {0, 20, kNoCondition, {50, 30}}};
-  QuotaTable table = TableOf({one});
+  QuotaTable table = MakeTable({one});
   CHECK(table.RateAt(0, 15, kOriginOverloaded) == TokenRate{5, 1});
   CHECK(table.RateAt(0, 15, kZoneLost) == TokenRate{50, 30});
   CHECK(table.RateAt(0, 20, kNoCondition) == TokenRate{100, 10});
@@ -62,84 +62,84 @@
   QuotaTable table;
   Keeper keeper;
   explicit Kept2(std::vector<Quota> rations, KeeperLimits limits = {})
-      : table(TableOf(std::move(rations))), keeper(table, limits, 100s, 0) {}
+      : table(MakeTable(std::move(rations))), keeper(table, limits, 100s, 0) {}
   std::uint32_t Draw(const RequestAttributes& asked, std::uint32_t want) {
-    return keeper.Draw({Want(table.BucketPathOf(asked), want)})[0].want;
+    return keeper.Draw({EntryOf(table.BucketPathOf(asked), want)})[0].want;
   }
 };
 
 TEST_CASE("keeper: a bucket begins empty, fills with time, and holds its burst") {
-  Kept2 at({Of({10, 5})});
-  CHECK(at.Draw(By(0), 9) == 0);
+  Kept2 at({MakeQuota({10, 5})});
+  CHECK(at.Draw(RequestBy(0), 9) == 0);
   at.keeper.SetTime(100s + 250ms, 0, kNoCondition);
-  CHECK(at.Draw(By(0), 9) == 2);
+  CHECK(at.Draw(RequestBy(0), 9) == 2);
   at.keeper.SetTime(200s, 0, kNoCondition);
-  CHECK(at.Draw(By(0), 9) == 5);
-  auto lacks = at.keeper.Draw({Want(at.table.BucketPathOf(By(0)), 3)})[0];
+  CHECK(at.Draw(RequestBy(0), 9) == 5);
+  auto lacks = at.keeper.Draw({EntryOf(at.table.BucketPathOf(RequestBy(0)), 3)})[0];
   CHECK(lacks.want == 0);
   CHECK(lacks.wait_ms >= 100);
 }
 
 TEST_CASE("keeper: follows what the fleet sees, from then on") {
-  Quota one = Of({10, 50});
+  Quota one = MakeQuota({10, 50});
   one.overrides = {{INT64_MIN, INT64_MAX, kOriginOverloaded, {2, 8}}};
   Kept2 at({one});
   at.keeper.SetTime(102s, 0, kOriginOverloaded);
-  CHECK(at.Draw(By(0), 99) == 8);
+  CHECK(at.Draw(RequestBy(0), 99) == 8);
   at.keeper.SetTime(103s, 0, kNoCondition);
-  CHECK(at.Draw(By(0), 99) == 2);
+  CHECK(at.Draw(RequestBy(0), 99) == 2);
   at.keeper.SetTime(104s, 0, kOriginOverloaded);
-  CHECK(at.Draw(By(0), 99) == 8);
+  CHECK(at.Draw(RequestBy(0), 99) == 8);
 }
 
 TEST_CASE("keeper: a token counts in its own bucket alone, and each around it pays its own") {
-  Kept2 at({Of({10, 10}), Of({8, 8}, 0, kPerClient)});
+  Kept2 at({MakeQuota({10, 10}), MakeQuota({8, 8}, 0, kPerClient)});
   at.keeper.SetTime(200s, 0, kNoCondition);
-  CHECK(at.Draw(By(0, 1), 20) == 8);
-  CHECK(at.Draw(By(0, 2), 20) == 8);
-  BucketPath above = Above(at.table.BucketPathOf(By(0, 1)));
-  CHECK(at.keeper.Draw({Want(above, 20)})[0].want == 10);
+  CHECK(at.Draw(RequestBy(0, 1), 20) == 8);
+  CHECK(at.Draw(RequestBy(0, 2), 20) == 8);
+  BucketPath above = ParentPath(at.table.BucketPathOf(RequestBy(0, 1)));
+  CHECK(at.keeper.Draw({EntryOf(above, 20)})[0].want == 10);
 }
 
 TEST_CASE("keeper: who borrows has what is wanted while those above are over half full, else its own") {
-  auto lent = Of({1, 2}, 0);
+  auto lent = MakeQuota({1, 2}, 0);
   lent.borrows = true;
-  Kept2 at({Of({100, 100}), lent});
+  Kept2 at({MakeQuota({100, 100}), lent});
   at.keeper.SetTime(200s, 0, kNoCondition);
-  CHECK(at.Draw(By(0), 90) == 90);
+  CHECK(at.Draw(RequestBy(0), 90) == 90);
   CHECK(at.keeper.Level({1, 0}) == 0);
-  CHECK(at.keeper.Draw({Want(Above(at.table.BucketPathOf(By(0))), 50)})[0].want == 50);
-  CHECK(at.Draw(By(0), 90) == 0);
+  CHECK(at.keeper.Draw({EntryOf(ParentPath(at.table.BucketPathOf(RequestBy(0))), 50)})[0].want == 50);
+  CHECK(at.Draw(RequestBy(0), 90) == 0);
   at.keeper.SetTime(201s, 0, kNoCondition);
-  CHECK(at.Draw(By(0), 1'000'000'000) == 1'000'000'000);
+  CHECK(at.Draw(RequestBy(0), 1'000'000'000) == 1'000'000'000);
 }
 
 TEST_CASE("keeper: what is scarce is dealt round among the drawers of one turn") {
-  Kept2 at({Of({1, 100})});
+  Kept2 at({MakeQuota({1, 100})});
   at.keeper.SetTime(300s, 0, kNoCondition);
-  BucketPath chain = at.table.BucketPathOf(By(0));
-  auto answers = at.keeper.DrawAll({{Want(chain, 500)}, {Want(chain, 10)}, {Want(chain, 500)}});
+  BucketPath chain = at.table.BucketPathOf(RequestBy(0));
+  auto answers = at.keeper.DrawAll({{EntryOf(chain, 500)}, {EntryOf(chain, 10)}, {EntryOf(chain, 500)}});
   CHECK(answers[1][0].want == 10);
   CHECK(answers[0][0].want + answers[2][0].want == 90);
   CHECK(std::max(answers[0][0].want, answers[2][0].want) <= 46);
 }
 
 TEST_CASE("keeper: beyond its room buckets share one, and none has more by it, then or later") {
-  Kept2 at({Of({1, 10}, -1, kPerClient)}, {.buckets = 2});
+  Kept2 at({MakeQuota({1, 10}, -1, kPerClient)}, {.buckets = 2});
   at.keeper.SetTime(200s, 0, kNoCondition);
-  for (std::uint64_t client : {1, 2}) CHECK(at.Draw(By(0, client), 6) == 6);
-  CHECK(at.Draw(By(0, 3), 6) == 6);
-  CHECK(at.Draw(By(0, 4), 6) == 4);
+  for (std::uint64_t client : {1, 2}) CHECK(at.Draw(RequestBy(0, client), 6) == 6);
+  CHECK(at.Draw(RequestBy(0, 3), 6) == 6);
+  CHECK(at.Draw(RequestBy(0, 4), 6) == 4);
   CHECK(at.keeper.buckets() == 2);
   at.keeper.SetTime(206s, 0, kNoCondition);
   at.keeper.Forget();
   // One and two are full again and the shared one is not: they may be forgotten, and whoever comes has what
   // is shared.
   CHECK(at.keeper.buckets() == 0);
-  CHECK(at.Draw(By(0, 3), 20) == 6);
+  CHECK(at.Draw(RequestBy(0, 3), 20) == 6);
   at.keeper.SetTime(400s, 0, kNoCondition);
   at.keeper.Forget();
-  CHECK(at.Draw(By(0, 3), 20) == 10);
+  CHECK(at.Draw(RequestBy(0, 3), 20) == 10);
 }
 
 // ---- The purse --------------------------------------------------------------------------------------------
@@ -150,7 +150,7 @@
   Purse purse;
   std::vector<Message> draws;
   explicit Purse2(std::vector<Quota> rations, Purse::Options given = {})
-      : table(TableOf(std::move(rations))), options(given), purse(table, options, 5, 1, 0s) {}
+      : table(MakeTable(std::move(rations))), options(given), purse(table, options, 5, 1, 0s) {}
   std::vector<Message> Due(Time now) {
     draws.clear();
     purse.Due(now, draws);
@@ -172,9 +172,9 @@
 };
 
 TEST_CASE("purse: goes on account up to a tenth of a second's, draws as much, and under one number") {
-  Purse2 at({Of({100, 50})});
-  CHECK(at.Within(1s, 20, By(0)) == 10);
-  Verdict over = at.purse.Take(1s, By(0));
+  Purse2 at({MakeQuota({100, 50})});
+  CHECK(at.Within(1s, 20, RequestBy(0)) == 10);
+  Verdict over = at.purse.Take(1s, RequestBy(0));
   CHECK_FALSE(over.within);
   CHECK(over.counted);
   CHECK(over.come_back >= 10ms);
@@ -184,36 +184,36 @@
   Message draw = draws[0];
   REQUIRE(draw.entries.size() == 1);
   CHECK(draw.entries[0].want == 10);
-  CHECK(at.Within(1s + 1ms, 100, By(0)) == 0);
+  CHECK(at.Within(1s + 1ms, 100, RequestBy(0)) == 0);
   CHECK(at.Due(1s + 20ms).empty());
   REQUIRE(at.Due(1s + 40ms).size() == 1);
   CHECK(at.draws[0] == draw);
   CHECK(at.Grant(1s + 41ms, draw, 3));
   CHECK_FALSE(at.Grant(1s + 41ms, draw, 3));
   CHECK(at.purse.owed() == 7);
-  CHECK(at.Within(1s + 42ms, 20, By(0)) == 3);
+  CHECK(at.Within(1s + 42ms, 20, RequestBy(0)) == 3);
 }
 
 TEST_CASE("purse: more than was owed is never of use, though more be granted") {
-  Purse2 at({Of({100, 50})});
-  CHECK(at.Within(1s, 4, By(0)) == 4);
+  Purse2 at({MakeQuota({100, 50})});
+  CHECK(at.Within(1s, 4, RequestBy(0)) == 4);
   Message draw = at.Due(3s).at(0), grant = draw;
   grant.kind = MessageKind::kGrant;
   grant.entries[0].want = 50;
   CHECK(at.purse.Take(3s, grant));
   CHECK(at.purse.owed() == 0);
-  CHECK(at.Within(3s, 50, By(0)) == 10);
+  CHECK(at.Within(3s, 50, RequestBy(0)) == 10);
 }
 
 // Never more than released and CreditLimit together, of any bucket, in any order of requests and grants.
 TEST_CASE("purse: each bucket pays for itself, and none owes more than one process may be ahead") {
-  Purse2 at({Of({60, 100}), Of({1000, 1000}, 0, kPerClient)});
+  Purse2 at({MakeQuota({60, 100}), MakeQuota({1000, 1000}, 0, kPerClient)});
   std::map<Bucket, std::uint64_t> paid, had;
   for (int turn = 0; turn < 400; ++turn) {
     Time now = 1s + turn * 12ms;
     for (int i = 0; i < 50; ++i) {
-      BucketPath chain = at.table.BucketPathOf(By(0, i % 5));
-      if (!at.purse.Take(now, By(0, i % 5)).within) continue;
+      BucketPath chain = at.table.BucketPathOf(RequestBy(0, i % 5));
+      if (!at.purse.Take(now, RequestBy(0, i % 5)).within) continue;
       for (std::size_t k = 0; k < chain.size; ++k) ++had[chain.buckets[k]];
     }
     for (const Message& draw : at.Due(now)) {
@@ -234,13 +234,13 @@
 }
 
 TEST_CASE("purse: a debt that hinders nobody waits, one that does goes soon, with all of its shard") {
-  Purse2 at({Of({1000, 1000}), Of({1000, 1000}, 0, kPerClient)});
-  at.purse.Take(0s, By(0, 1));
+  Purse2 at({MakeQuota({1000, 1000}), MakeQuota({1000, 1000}, 0, kPerClient)});
+  at.purse.Take(0s, RequestBy(0, 1));
   at.Grant(0s, at.Due(0s).at(0), 1000);  // the first of a shard, at once
-  at.purse.Take(1s, By(0, 1));
+  at.purse.Take(1s, RequestBy(0, 1));
   CHECK(at.Due(1s + 500ms).empty());
   CHECK(at.purse.NextDue() == 2s);
-  CHECK(at.Within(1s + 500ms, 95, By(0, 2)) == 95);
+  CHECK(at.Within(1s + 500ms, 95, RequestBy(0, 2)) == 95);
   REQUIRE(at.Due(1s + 501ms).size() == 1);
   REQUIRE(at.draws[0].entries.size() == 3);
   CHECK(at.Grant(1s + 502ms, at.draws[0], 1000));
@@ -249,9 +249,10 @@
 }
 
 TEST_CASE("purse: a bucket whose own ration is used up does not hold the one around it") {
-  Purse2 at({Of({100, 50}), Of({1, 1}, 0, kPerClient)});
-  for (std::uint64_t client = 1; client <= 10; ++client) CHECK(at.purse.Take(1s, By(0, client)).within);
-  CHECK_FALSE(at.purse.Take(1s, By(0, 11)).within);
+  Purse2 at({MakeQuota({100, 50}), MakeQuota({1, 1}, 0, kPerClient)});
+  for (std::uint64_t client = 1; client <= 10; ++client)
+    CHECK(at.purse.Take(1s, RequestBy(0, client)).within);
+  CHECK_FALSE(at.purse.Take(1s, RequestBy(0, 11)).within);
   Message grant = at.Due(1s).at(0);
   grant.kind = MessageKind::kGrant;
   for (Entry& entry : grant.entries) {
@@ -259,8 +260,8 @@
     entry.wait_ms = 1000;
   }
   CHECK(at.purse.Take(1s + 1ms, grant));
-  CHECK_FALSE(at.purse.Take(1s + 2ms, By(0, 1)).within);
-  CHECK(at.purse.Take(1s + 2ms, By(0, 11)).within);
+  CHECK_FALSE(at.purse.Take(1s + 2ms, RequestBy(0, 1)).within);
+  CHECK(at.purse.Take(1s + 2ms, RequestBy(0, 11)).within);
 }
 
 TEST_CASE("purse: alone, soft rations do as they say and hard ones are over") {
@@ -268,38 +269,39 @@
                                           {false, WhenUnreachable::kReject, 0, 0},
                                           {false, WhenUnreachable::kOwnShare, 9, 11},
                                           {false, WhenUnreachable::kAdmit, 100, 100}}) {
-    Quota ration = Of({100, 50});
+    Quota ration = MakeQuota({100, 50});
     ration.hard = hard;
     ration.when_unreachable = alone;
     Purse::Options options;
     options.routers = 10;
     Purse2 at({ration}, options);
-    CHECK(at.Within(1s, 11, By(0)) == 10);
+    CHECK(at.Within(1s, 11, RequestBy(0)) == 10);
     at.Due(1s);
-    CHECK_FALSE(at.purse.alone(1s + 299ms, ShardOf(at.table.BucketPathOf(By(0)))));
+    CHECK_FALSE(at.purse.alone(1s + 299ms, ShardOf(at.table.BucketPathOf(RequestBy(0)))));
     int within = 0;
-    for (int i = 0; i < 100; ++i) within += at.purse.Take(1s + 300ms + i * 10ms, By(0)).within ? 1 : 0;
+    for (int i = 0; i < 100; ++i) within += at.purse.Take(1s + 300ms + i * 10ms, RequestBy(0)).within ? 1 : 0;
     CHECK(within >= least);
     CHECK(within <= most);
     CHECK(at.Grant(3s, at.Due(3s).at(0), 1));
-    CHECK(at.purse.Take(3s, By(0)).within);
-    CHECK_FALSE(at.purse.Take(3s, By(0)).within);
+    CHECK(at.purse.Take(3s, RequestBy(0)).within);
+    CHECK_FALSE(at.purse.Take(3s, RequestBy(0)).within);
   }
 }
 
 TEST_CASE("purse: without room a new bucket has no credit, and no debt is dropped for it") {
-  Purse2 at({Of({100, 50}, -1, kPerClient)}, {.buckets = 2});
-  for (std::uint64_t client : {1, 2}) CHECK(at.Within(1s, 20, By(0, client)) == 10);
-  CHECK_FALSE(at.purse.Take(1s, By(0, 3)).within);
+  Purse2 at({MakeQuota({100, 50}, -1, kPerClient)}, {.buckets = 2});
+  for (std::uint64_t client : {1, 2}) CHECK(at.Within(1s, 20, RequestBy(0, client)) == 10);
+  CHECK_FALSE(at.purse.Take(1s, RequestBy(0, 3)).within);
   CHECK(at.purse.buckets() == 2);
   for (Message draw : at.Due(1s)) {
     draw.kind = MessageKind::kGrant;
-    for (Entry& entry : draw.entries) entry.want = entry.chain == at.table.BucketPathOf(By(0, 1)) ? 10 : 9;
+    for (Entry& entry : draw.entries)
+      entry.want = entry.chain == at.table.BucketPathOf(RequestBy(0, 1)) ? 10 : 9;
     CHECK(at.purse.Take(1s, draw));
   }
-  CHECK(at.purse.Take(1s, By(0, 3)).within);
-  CHECK(at.Within(1s, 20, By(0, 2)) == 9);
-  CHECK_FALSE(at.purse.Take(1s, By(0, 1)).within);
+  CHECK(at.purse.Take(1s, RequestBy(0, 3)).within);
+  CHECK(at.Within(1s, 20, RequestBy(0, 2)) == 9);
+  CHECK_FALSE(at.purse.Take(1s, RequestBy(0, 1)).within);
 }
 
 TEST_CASE("slots: what is in is found, whatever came to lie beside it and went") {
@@ -327,7 +329,8 @@
 
 // Says how long a request takes; asserts nothing of it.
 TEST_CASE("purse: bench" * doctest::skip()) {
-  Purse2 at({Of({1e9, 1e9}), Of({1e8, 1e8}, 0, kPerTenant), Of({1e7, 1e7}, 1, kPerClient)});
+  Purse2 at(
+      {MakeQuota({1e9, 1e9}), MakeQuota({1e8, 1e8}, 0, kPerTenant), MakeQuota({1e7, 1e7}, 1, kPerClient)});
   Time now = 10s;
   for (std::uint64_t clients : {1u, 1000u, 50000u}) {
     for (int with = 0; with < 2; ++with) {
@@ -336,7 +339,8 @@
       std::uint64_t within = 0;
       for (int i = 0; i < kTimes; ++i) {
         now += 400ns;
-        within += at.purse.Take(now, By(1, static_cast<std::uint64_t>(i) * 7919 % clients)).within ? 1 : 0;
+        within +=
+            at.purse.Take(now, RequestBy(1, static_cast<std::uint64_t>(i) * 7919 % clients)).within ? 1 : 0;
         if (with == 1 && i % 25000 == 0) {
           for (const Message& draw : at.Due(now + 50ms)) at.Grant(now, draw, 1'000'000);
         }
--- a/tests/rations/quota_config_test_util.h
+++ b/tests/rations/quota_config_test_util.h
@@ -1,4 +1,4 @@
-// Settings and small books that the tests of the language share.
+// Settings and small configurations shared by the tests of the quota configuration language.
 #pragma once
 
 #include <fmt/format.h>
@@ -9,7 +9,7 @@
 
 namespace peatbend::rations::test {
 
-inline Settings Shop() {
+inline Settings TestSettings() {
   Settings settings;
   for (const char* name : {"page", "campaign-send", "order", "thumb nail"})
     settings.classes.push_back({.name = name});
@@ -17,28 +17,28 @@
   return settings;
 }
 
-inline QuotaTable Read(const std::string& text) { return ParseQuotaConfig(text, Shop(), "b"); }
+inline QuotaTable Parse(const std::string& text) { return ParseQuotaConfig(text, TestSettings(), "b"); }
 
-// The faults, each "LINE:COLUMN: what", a line each; empty for a good book.
-inline std::string FaultsOf(const std::string& text) {
+// Returns the errors as lines "LINE:COLUMN: message", or an empty string for a valid configuration.
+inline std::string ErrorsOf(const std::string& text) {
   try {
-    Read(text);
+    Parse(text);
     return "";
-  } catch (const InvalidQuotaConfig& refused) {
+  } catch (const InvalidQuotaConfig& invalid) {
     std::string all;
-    for (const QuotaConfigError& error : refused.errors()) {
+    for (const QuotaConfigError& error : invalid.errors()) {
       all += fmt::format("{}{}:{}: {}", all.empty() ? "" : "\n", error.line, error.column, error.message);
     }
     return all;
   }
 }
 
-inline const std::string kHead = "book reads 1\ntime zone Europe/Athens\n";
-// A ration of its own with that statement besides the amounts, which stand in the lines before it.
-inline std::string With(const std::string& statement) {
-  return kHead + "ration r {\n counts everything;\n rate 100 a second; burst 200;\n " + statement + "\n}\n";
+inline const std::string kHeader = "book reads 1\ntime zone Europe/Athens\n";
+// A configuration of one ration with that statement in line 6, after the required ones.
+inline std::string WithStatement(const std::string& statement) {
+  return kHeader + "ration r {\n counts everything;\n rate 100 a second; burst 200;\n " + statement + "\n}\n";
 }
-inline std::string Amounts(double rate, double burst) {
+inline std::string RateAndBurst(double rate, double burst) {
   return fmt::format("rate {} a second; burst {};", rate, burst);
 }
 
--- a/tests/rations/quota_table_test_util.h
+++ b/tests/rations/quota_table_test_util.h
@@ -1,4 +1,4 @@
-// Small books of rations, for tests.
+// Small quota tables for tests.
 #pragma once
 
 #include <utility>
@@ -9,28 +9,28 @@
 
 namespace peatbend::rations::test {
 
-inline Quota Of(TokenRate pace, int inside = -1, unsigned per = kSingleBucket) {
-  Quota ration;
-  ration.rate = pace;
-  ration.parent = inside;
-  ration.bucket_key = per;
-  return ration;
+inline Quota MakeQuota(TokenRate rate, int parent = -1, unsigned bucket_key = kSingleBucket) {
+  Quota quota;
+  quota.rate = rate;
+  quota.parent = parent;
+  quota.bucket_key = bucket_key;
+  return quota;
 }
-inline QuotaTable TableOf(std::vector<Quota> rations) {
+inline QuotaTable MakeTable(std::vector<Quota> quotas) {
   QuotaTable table;
   table.fingerprint = 7;
-  table.quotas = std::move(rations);
+  table.quotas = std::move(quotas);
   table.BuildIndex(3, 2);
   return table;
 }
-inline RequestAttributes By(int tenant, std::uint64_t client = 0, std::string_view key = {}) {
+inline RequestAttributes RequestBy(int tenant, std::uint64_t client = 0, std::string_view key = {}) {
   return {tenant, 0, false, false, client, key};
 }
-inline Entry Want(const BucketPath& chain, std::uint32_t want) { return {chain, want, 0}; }
-// The bucket that the chain's first lies in.
-inline BucketPath Above(const BucketPath& chain) {
+inline Entry EntryOf(const BucketPath& path, std::uint32_t want) { return {path, want, 0}; }
+// The path without its innermost bucket.
+inline BucketPath ParentPath(const BucketPath& path) {
   BucketPath above;
-  for (std::size_t i = 1; i < chain.size; ++i) above.buckets[above.size++] = chain.buckets[i];
+  for (std::size_t i = 1; i < path.size; ++i) above.buckets[above.size++] = path.buckets[i];
   return above;
 }
 
