--- a/src/rations/quota_table.cpp
+++ b/src/rations/quota_table.cpp
@@ -9,15 +9,15 @@
 namespace {
 
 // An empty list contains every value.
-bool Contains(const std::vector<int>& sorted, int value) {
+bool ContainsIndex(const std::vector<int>& sorted, int value) {
   return sorted.empty() || std::ranges::binary_search(sorted, value);
 }
 
-bool Matches(const Quota& quota, const RequestAttributes& request) {
+bool QuotaMatches(const Quota& quota, const RequestAttributes& request) {
   bool access = quota.access == AccessKind::kAny || (quota.access == AccessKind::kWrites) == request.write;
   bool try_kind = quota.try_kind == TryKind::kAny || (quota.try_kind == TryKind::kRetry) == request.retry;
-  return access && try_kind && Contains(quota.tenants, request.tenant) &&
-         Contains(quota.classes, request.cls);
+  return access && try_kind && ContainsIndex(quota.tenants, request.tenant) &&
+         ContainsIndex(quota.classes, request.cls);
 }
 
 // The key prefix goes in as a hash of its own, so that the hashed values have a fixed size.
@@ -41,7 +41,7 @@
   int innermost = -1;
   std::size_t max_depth = 0;
   for (std::size_t i = 0; i < quotas.size(); ++i) {
-    if (!Matches(quotas[i], request)) continue;
+    if (!QuotaMatches(quotas[i], request)) continue;
     std::size_t depth = 1;
     for (int parent = quotas[i].parent; parent >= 0; parent = quotas[static_cast<std::size_t>(parent)].parent)
       ++depth;
