--- a/src/rations/credit_ledger.cpp
+++ b/src/rations/credit_ledger.cpp
@@ -25,18 +25,18 @@
 
 }  // namespace
 
-CreditLedger::CreditLedger(const Table& table, Options options, std::uint64_t nonce, std::uint64_t random,
-                           Time, std::uint64_t last)
+CreditLedger::CreditLedger(const QuotaTable& table, Options options, std::uint64_t nonce,
+                           std::uint64_t random, Time, std::uint64_t last)
     : table_(table),
       options_(options),
       nonce_(nonce),
       last_sequence_(last),
       random_(static_cast<std::minstd_rand::result_type>(random ^ random >> 32)),
       min_urgent_delay_s_(std::min(kMinUrgentDelayS, 2 * Seconds(options.request_interval))),
-      urgent_delays_(table.rations.size(), UrgentDelay{min_urgent_delay_s_}),
+      urgent_delays_(table.quotas.size(), UrgentDelay{min_urgent_delay_s_}),
       shards_(kShards) {
-  for (std::size_t i = 0; i < table.rations.size(); ++i)
-    credit_limits_.push_back(static_cast<std::uint32_t>(std::min(AheadOf(table.Most(i)), 1e9)));
+  for (std::size_t i = 0; i < table.quotas.size(); ++i)
+    credit_limits_.push_back(static_cast<std::uint32_t>(std::min(CreditLimit(table.MaxRate(i)), 1e9)));
 }
 
 // A random duration between half and one and a half times `span`.
@@ -48,14 +48,14 @@
 
 // ---- Accounts ---------------------------------------------------------------------------------------------
 
-CreditLedger::Account* CreditLedger::FindOrCreate(Time now, const Chain& chain) {
+CreditLedger::Account* CreditLedger::FindOrCreate(Time now, const BucketPath& chain) {
   Slot at = SlotOf(chain.buckets[0]);
   return at != HashIndex::kNone ? &accounts_[at] : Create(now, chain);
 }
 
 // Creates the missing accounts of the chain, outermost first. Returns the innermost, or null if there is no
 // room.
-CreditLedger::Account* CreditLedger::Create(Time now, const Chain& chain) {
+CreditLedger::Account* CreditLedger::Create(Time now, const BucketPath& chain) {
   std::uint32_t shard = ShardOf(chain);
   Account* parent = nullptr;
   for (std::size_t i = chain.size; i-- > 0;) {
@@ -74,7 +74,7 @@
     account.bucket = chain.buckets[i];
     account.slot = *slot;
     account.parent = parent;
-    account.credit_limit = credit_limits_[account.bucket.ration];
+    account.credit_limit = credit_limits_[account.bucket.quota];
     account.shard = static_cast<std::uint8_t>(shard);
     account.demand_at = now;
     index_.Insert(HashOf(account.bucket), *slot);
@@ -118,12 +118,12 @@
 // divided by its recent demand. The first request to a shard is not delayed.
 Span CreditLedger::UrgentDelayOf(const Account& account) const {
   if (!shards_[account.shard].owner_answered) return Span{};
-  return FromSeconds(urgent_delays_[account.bucket.ration].seconds /
+  return FromSeconds(urgent_delays_[account.bucket.quota].seconds /
                      std::max(1.0, static_cast<double>(account.demand) - 1));
 }
 
 void CreditLedger::UpdateUrgentDelay(const Account& account, bool paid_in_full) {
-  UrgentDelay& delay = urgent_delays_[account.bucket.ration];
+  UrgentDelay& delay = urgent_delays_[account.bucket.quota];
   bool reduce = !paid_in_full || account.limited;
   delay.limited = delay.limited || reduce;
   delay.seconds *= reduce ? kDelayReduction : delay.limited ? kDelayGrowth : kInitialDelayGrowth;
@@ -140,13 +140,13 @@
 
 // ---- Requests ---------------------------------------------------------------------------------------------
 
-Verdict CreditLedger::Admit(Time now, const Asked& asked) {
+Verdict CreditLedger::Admit(Time now, const RequestAttributes& asked) {
   Verdict verdict;
-  Chain chain = table_.ChainOf(asked);
+  BucketPath chain = table_.BucketPathOf(asked);
   if (chain.size == 0) return verdict;
   verdict.counted = true;
-  verdict.quota = chain.buckets[0].ration;
-  verdict.over = table_.rations[verdict.quota].over;
+  verdict.quota = chain.buckets[0].quota;
+  verdict.over = table_.quotas[verdict.quota].over_limit;
   Account* leaf = FindOrCreate(now, chain);
   if (leaf == nullptr) {
     verdict.within_quota = false;
@@ -186,15 +186,15 @@
   if (!owner_unreachable(now, leaf.shard)) return false;
   Time since = shards_[leaf.shard].first_sent + options_.unreachable_after;
   for (Account* one = &leaf; one != nullptr; one = one->parent) {
-    const Ration& ration = table_.rations[one->bucket.ration];
-    if (ration.hard || ration.alone == Alone::kReject) return false;
-    if (ration.alone == Alone::kOpen) continue;
+    const Quota& ration = table_.quotas[one->bucket.quota];
+    if (ration.hard || ration.when_unreachable == WhenUnreachable::kReject) return false;
+    if (ration.when_unreachable == WhenUnreachable::kAdmit) continue;
     if (one->own_share_at < since) {
       one->own_share = 0;
       one->own_share_at = since;
     }
     double routers = std::max(options_.routers, 1);
-    double burst = std::max(1.0, ration.pace.burst / routers), rate = ration.pace.rate / routers;
+    double burst = std::max(1.0, ration.rate.burst / routers), rate = ration.rate.per_second / routers;
     one->own_share = std::min(burst, one->own_share + rate * Seconds(now - one->own_share_at));
     one->own_share_at = now;
     if (one->own_share >= 1) continue;
@@ -203,7 +203,7 @@
     return false;
   }
   for (Account* one = &leaf; one != nullptr; one = one->parent) {
-    if (table_.rations[one->bucket.ration].alone == Alone::kOwnShare) one->own_share -= 1;
+    if (table_.quotas[one->bucket.quota].when_unreachable == WhenUnreachable::kOwnShare) one->own_share -= 1;
   }
   ++metrics_.without_owner;
   return verdict.within_quota = true;
@@ -253,7 +253,7 @@
   request.entries.reserve(std::min(queued.size(), kMaxRequestBuckets));
   for (Slot slot : queued) {
     Account& account = accounts_[slot];
-    if (buckets + kDeepest > kMaxRequestBuckets || account.not_before > now) {
+    if (buckets + kMaxQuotaDepth > kMaxRequestBuckets || account.not_before > now) {
       shard.queued.push_back(slot);
       shard.due = std::min(shard.due, std::max(now, account.not_before));
       continue;
@@ -273,7 +273,7 @@
   request.shard = number;
   request.sequence = ++last_sequence_;
   request.requester = nonce_;
-  request.fingerprint = table_.print;
+  request.fingerprint = table_.fingerprint;
   shard.last_sent = shard.first_sent = now;
   shard.outstanding = request;
   ++metrics_.token_requests;
@@ -285,7 +285,8 @@
   Shard& shard = shards_[grant.shard];
   bool ours = grant.kind == MessageKind::kGrant && shard.outstanding &&
               grant.sequence == shard.outstanding->sequence && grant.requester == nonce_ &&
-              grant.fingerprint == table_.print && grant.entries.size() == shard.outstanding->entries.size();
+              grant.fingerprint == table_.fingerprint &&
+              grant.entries.size() == shard.outstanding->entries.size();
   for (std::size_t i = 0; ours && i < grant.entries.size(); ++i)
     ours = grant.entries[i].chain == shard.outstanding->entries[i].chain;
   if (!ours) {
@@ -331,10 +332,10 @@
 // credit limit can have been refilled, and up to three times as long if many share the bucket, so that only
 // one token in `ratio` was granted.
 Span CreditLedger::PartialGrantDelay(const Account& account, std::uint32_t ratio) const {
-  Pace most = table_.Most(account.bucket.ration);
-  if (most.rate <= 0) return kMaxPartialGrantDelay;
-  Span delay =
-      std::min(kMaxPartialGrantDelay, FromSeconds(0.4 * std::min(account.credit_limit / most.rate, 1.0)));
+  TokenRate most = table_.MaxRate(account.bucket.quota);
+  if (most.per_second <= 0) return kMaxPartialGrantDelay;
+  Span delay = std::min(kMaxPartialGrantDelay,
+                        FromSeconds(0.4 * std::min(account.credit_limit / most.per_second, 1.0)));
   return delay * std::clamp<std::uint32_t>(ratio / 7, 1, 3);
 }
 
@@ -353,7 +354,7 @@
   rations::AppendState(into, last_sequence_);
   for (const Account& one : accounts_) {
     for (std::uint64_t each :
-         {std::uint64_t{one.bucket.ration}, one.bucket.of, std::uint64_t{one.debt},
+         {std::uint64_t{one.bucket.quota}, one.bucket.key_hash, std::uint64_t{one.debt},
           std::uint64_t{one.limited} * 4 + std::uint64_t{one.queued} * 2 + one.requested})
       rations::AppendState(into, each);
   }
--- a/src/rations/credit_ledger.h
+++ b/src/rations/credit_ledger.h
@@ -1,7 +1,7 @@
 // The tokens that one router owes to the shard owners. A request within its quotas is admitted at once, on
 // credit; its tokens are requested afterwards, and never more than are owed. The debt of a bucket never
-// exceeds AheadOf. So no request waits for another router, no router holds tokens that it does not use, and
-// all routers together admit at most what the owners granted plus AheadOf for each process. A debt is
+// exceeds CreditLimit. So no request waits for another router, no router holds tokens that it does not use,
+// and all routers together admit at most what the owners granted plus CreditLimit for each process. A debt is
 // forgotten only when the process ends: only buckets without debt may be evicted, and a bucket for which
 // there is no room gets no credit. No I/O and no clocks; not thread-safe.
 #pragma once
@@ -17,16 +17,17 @@
 
 #include "rations/hash_index.h"
 #include "rations/message.h"
-#include "rations/table.h"
+#include "rations/quota_table.h"
 
 namespace peatbend::rations {
 
 struct Verdict {
-  bool within_quota = true;      // no quota counts the request, or it was admitted on credit
-  bool counted = false;          // a quota counts the request
-  Over over = Over::kCountOnly;  // if not within the quota: what the quota says to do with it
-  Span retry_after{};            // if not within the quota: randomized per request
-  std::uint32_t quota = 0;       // index into Table::rations
+  bool within_quota = true;  // no quota counts the request, or it was admitted on credit
+  bool counted = false;      // a quota counts the request
+  OverLimitAction over =
+      OverLimitAction::kCountOnly;  // if not within the quota: what the quota says to do with it
+  Span retry_after{};               // if not within the quota: randomized per request
+  std::uint32_t quota = 0;          // index into Table::rations
 };
 
 class CreditLedger {
@@ -45,11 +46,11 @@
   };
   // `table` must outlive this object. `nonce`: of the process. `random`: seed of the jitter. `last`:
   // last_sequence() of the process's previous ledger, since no sequence number is used twice under one nonce.
-  CreditLedger(const Table& table, Options options, std::uint64_t nonce, std::uint64_t random, Time now,
+  CreditLedger(const QuotaTable& table, Options options, std::uint64_t nonce, std::uint64_t random, Time now,
                std::uint64_t last = 0);
 
   // Takes less than a microsecond; allocates only for a bucket that is new here.
-  Verdict Admit(Time now, const Asked& asked);
+  Verdict Admit(Time now, const RequestAttributes& asked);
   // Appends the token requests that are due, new ones and those to be resent. The caller knows the owner of
   // each shard and sends them there.
   void CollectRequests(Time now, std::vector<Message>& requests);
@@ -104,13 +105,13 @@
   };
 
   static std::uint64_t HashOf(const Bucket& bucket) {
-    return (bucket.of ^ bucket.ration) * 0x9e3779b97f4a7c15u >> 32;
+    return (bucket.key_hash ^ bucket.quota) * 0x9e3779b97f4a7c15u >> 32;
   }
   Slot SlotOf(const Bucket& bucket) const {
     return index_.Find(HashOf(bucket), [&](Slot slot) { return accounts_[slot].bucket == bucket; });
   }
-  Account* FindOrCreate(Time now, const Chain& chain);
-  Account* Create(Time now, const Chain& chain);
+  Account* FindOrCreate(Time now, const BucketPath& chain);
+  Account* Create(Time now, const BucketPath& chain);
   std::optional<Slot> FreeSlot();
   bool IsUrgent(const Account& account) const;
   Span UrgentDelayOf(const Account& account) const;
@@ -125,7 +126,7 @@
   bool AdmitWithoutOwner(Time now, Account& leaf, Verdict& verdict);
   Span Jitter(Span span);
 
-  const Table& table_;
+  const QuotaTable& table_;
   Options options_;
   std::uint64_t nonce_, last_sequence_;
   std::minstd_rand random_;
--- a/src/rations/message.cpp
+++ b/src/rations/message.cpp
@@ -17,9 +17,9 @@
 
 }  // namespace
 
-std::uint32_t ShardOf(const Chain& chain) {
+std::uint32_t ShardOf(const BucketPath& chain) {
   if (chain.size == 0) return 0;
-  const std::uint64_t root[] = {chain.root().ration, chain.root().of};
+  const std::uint64_t root[] = {chain.root().quota, chain.root().key_hash};
   return static_cast<std::uint32_t>(XXH3_64bits(root, sizeof root) % kShards);
 }
 
@@ -49,8 +49,8 @@
   for (const Entry& entry : m.entries) {
     AppendState(into, std::uint64_t{entry.chain.size});
     for (std::size_t i = 0; i < entry.chain.size; ++i) {
-      AppendState(into, std::uint64_t{entry.chain.buckets[i].ration});
-      AppendState(into, entry.chain.buckets[i].of);
+      AppendState(into, std::uint64_t{entry.chain.buckets[i].quota});
+      AppendState(into, entry.chain.buckets[i].key_hash);
     }
     for (std::uint64_t each : {entry.tokens, entry.retry_after_ms}) AppendState(into, each);
   }
@@ -66,7 +66,7 @@
   for (const Entry& entry : m.entries) {
     text += " [";
     for (std::size_t i = 0; i < entry.chain.size; ++i)
-      text += fmt::format("{}:{:x} ", entry.chain.buckets[i].ration, entry.chain.buckets[i].of);
+      text += fmt::format("{}:{:x} ", entry.chain.buckets[i].quota, entry.chain.buckets[i].key_hash);
     text += fmt::format("{}, retry after {} ms]", entry.tokens, entry.retry_after_ms);
   }
   return text;
--- a/src/rations/message.h
+++ b/src/rations/message.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "rations/table.h"
+#include "rations/quota_table.h"
 
 namespace peatbend::rations {
 
@@ -19,7 +19,7 @@
 // at a time. Every shard costs messages of its own and has one outstanding token request per router.
 constexpr std::uint32_t kShards = 4;
 constexpr std::size_t kReplicasPerShard = 3, kMajority = 2;
-std::uint32_t ShardOf(const Chain& chain);
+std::uint32_t ShardOf(const BucketPath& chain);
 
 // Identifies one election of a process for a shard. No two elections share a ballot, in any generation of any
 // process.
@@ -43,7 +43,7 @@
 };
 
 struct Entry {
-  Chain chain;
+  BucketPath chain;
   std::uint32_t tokens = 0;          // token request: requested; grant: granted
   std::uint32_t retry_after_ms = 0;  // grant: when more tokens are expected
   bool operator==(const Entry&) const = default;
--- a/src/rations/owned_shard.cpp
+++ b/src/rations/owned_shard.cpp
@@ -11,10 +11,11 @@
 
 }  // namespace
 
-void OwnedShard::SetTable(const Table& table, ShardLimits limits, Time now, std::int64_t unix_s) {
+void OwnedShard::SetTable(const QuotaTable& table, ShardLimits limits, Time now, std::int64_t unix_s) {
   // Requests queued during the election may refer to a previous table, in which quotas are numbered
   // differently.
-  std::erase_if(queued_, [&](const auto& one) { return one.second.request.fingerprint != table.print; });
+  std::erase_if(queued_,
+                [&](const auto& one) { return one.second.request.fingerprint != table.fingerprint; });
   if (table_ != nullptr) {
     queued_.clear();
     batches_.clear();
--- a/src/rations/owned_shard.h
+++ b/src/rations/owned_shard.h
@@ -26,7 +26,7 @@
 
   // To be called after ShardOwnership::TakeOwnership, and again to switch to another table: requests and
   // grants under the previous one are void then. `table` must outlive this object.
-  void SetTable(const Table& table, ShardLimits limits, Time now, std::int64_t unix_s);
+  void SetTable(const QuotaTable& table, ShardLimits limits, Time now, std::int64_t unix_s);
   // Queues a token request. Returns the same grant again for a request that was answered already. Requests
   // older than the requester's last one are ignored.
   std::optional<Message> HandleRequest(Time now, const std::string& from, const Message& request);
@@ -65,7 +65,7 @@
   Requester& FindOrCreate(Time now, std::uint64_t nonce);
 
   std::uint32_t shard_;
-  const Table* table_ = nullptr;
+  const QuotaTable* table_ = nullptr;
   std::size_t max_requesters_ = 0;
   std::optional<ShardBuckets> buckets_;
   std::map<std::uint64_t, Requester> requesters_;  // by the nonce of their process
--- a/src/rations/quota_manager.cpp
+++ b/src/rations/quota_manager.cpp
@@ -22,7 +22,7 @@
 }  // namespace
 
 QuotaManager::QuotaManager(QuotaManagerOptions options, failover::ReplicaSet replicas, std::string self,
-                           std::uint64_t nonce, std::uint64_t random, std::shared_ptr<const Table> table,
+                           std::uint64_t nonce, std::uint64_t random, std::shared_ptr<const QuotaTable> table,
                            Time now, std::function<bool(const std::string&)> present)
     : options_(options),
       replicas_(std::move(replicas)),
@@ -49,7 +49,7 @@
   }
 }
 
-void QuotaManager::SetTable(Time now, std::shared_ptr<const Table> table) {
+void QuotaManager::SetTable(Time now, std::shared_ptr<const QuotaTable> table) {
   ledger_ = std::make_unique<CreditLedger>(*table, options_.ledger, nonce_, random_(), now,
                                            ledger_->last_sequence());
   for (Shard& shard : shards_) {
@@ -99,7 +99,7 @@
   }
 }
 
-Verdict QuotaManager::Admit(Time now, const Asked& asked) { return ledger_->Admit(now, asked); }
+Verdict QuotaManager::Admit(Time now, const RequestAttributes& asked) { return ledger_->Admit(now, asked); }
 
 void QuotaManager::Receive(Time now, const std::string& from, const Message& message) {
   Handle(now, from, message);
@@ -137,7 +137,7 @@
       shard.unanswered = shard.redirects = 0;
       return;
     case MessageKind::kRedirect:
-      if (message.sequence != shard.last_sequence || message.fingerprint != table_->print) return;
+      if (message.sequence != shard.last_sequence || message.fingerprint != table_->fingerprint) return;
       if (std::ranges::find(shard.replicas, message.other_ballot.router) == shard.replicas.end()) return;
       // While the request is sent to all replicas, a redirect adds nothing.
       if (shard.unanswered >= kUnansweredBeforeBroadcast || shard.redirects++ >= kMaxRedirects) return;
@@ -153,7 +153,7 @@
   redirect.shard = request.shard;
   redirect.sequence = request.sequence;
   redirect.requester = request.requester;
-  redirect.fingerprint = table_->print;
+  redirect.fingerprint = table_->fingerprint;
   redirect.other_ballot.router = OtherOwner(shard);
   ++metrics_.redirects;
   Send(to, std::move(redirect));
@@ -187,7 +187,7 @@
 // ---- Ownership --------------------------------------------------------------------------------------------
 
 void QuotaManager::HandleRequest(Time now, Shard& shard, const std::string& from, const Message& request) {
-  if (request.fingerprint != table_->print) {
+  if (request.fingerprint != table_->fingerprint) {
     ++metrics_.config_mismatches;
     return SendRedirect(shard, from, request);
   }
--- a/src/rations/quota_manager.h
+++ b/src/rations/quota_manager.h
@@ -41,19 +41,19 @@
   // process, never used before. `present`: whether that router is believed to be up; affects only whom to ask
   // and when to start an election.
   QuotaManager(QuotaManagerOptions options, failover::ReplicaSet replicas, std::string self,
-               std::uint64_t nonce, std::uint64_t random, std::shared_ptr<const Table> table, Time now,
+               std::uint64_t nonce, std::uint64_t random, std::shared_ptr<const QuotaTable> table, Time now,
                std::function<bool(const std::string&)> present);
 
   // Switches to another table: credit, debts and buckets of the previous one are void.
-  void SetTable(Time now, std::shared_ptr<const Table> table);
-  Verdict Admit(Time now, const Asked& asked);
+  void SetTable(Time now, std::shared_ptr<const QuotaTable> table);
+  Verdict Admit(Time now, const RequestAttributes& asked);
   void Receive(Time now, const std::string& from, const Message& message);
   // `unix_s`, `signs`: determine the rates in force in the shards that are owned here.
   void Tick(Time now, std::int64_t unix_s, unsigned signs);
   std::optional<Time> NextDue() const;  // of Tick
   std::vector<Outgoing> DrainOutgoing() { return std::exchange(out_, {}); }
 
-  const Table& table() const { return *table_; }
+  const QuotaTable& table() const { return *table_; }
   struct Metrics {
     std::uint64_t elections = 0, elections_won = 0, ballots_lost = 0, grants = 0, tokens = 0,
                   config_mismatches = 0, redirects = 0;
@@ -121,13 +121,13 @@
   std::minstd_rand random_;
   std::function<bool(const std::string&)> present_;
   std::vector<Outgoing> out_, local_;  // local_: to this router itself
-  std::shared_ptr<const Table> table_;
+  std::shared_ptr<const QuotaTable> table_;
   std::unique_ptr<CreditLedger> ledger_;
   std::string last_confirmer_;  // the other replica that confirmed last, of any shard
   std::vector<Shard> shards_;
   std::uint64_t elections_ = 0;
   std::int64_t unix_s_ = 0;
-  unsigned signs_ = kNoSign;
+  unsigned signs_ = kNoCondition;
   Time evict_at_;
   Time last_batch_ = Time::min() / 2;  // of any shard
   Metrics metrics_;
--- a/src/rations/shard_buckets.cpp
+++ b/src/rations/shard_buckets.cpp
@@ -20,16 +20,16 @@
   std::uint32_t missing() const { return bucket == nullptr ? 0 : entry.tokens - granted; }
 };
 
-ShardBuckets::ShardBuckets(const Table& table, ShardLimits limits, Time start, std::int64_t unix_s)
+ShardBuckets::ShardBuckets(const QuotaTable& table, ShardLimits limits, Time start, std::int64_t unix_s)
     : table_(table), limits_(limits), now_(start), unix_s_(unix_s) {
-  default_buckets_.assign(table.rations.size(), BucketState{0, start});
-  for (std::size_t i = 0; i < table.rations.size(); ++i) paces_.push_back(table.PaceAt(i, unix_s, signs_));
+  default_buckets_.assign(table.quotas.size(), BucketState{0, start});
+  for (std::size_t i = 0; i < table.quotas.size(); ++i) paces_.push_back(table.RateAt(i, unix_s, signs_));
 }
 
 void ShardBuckets::Refill(std::uint32_t ration, BucketState& bucket) const {
-  const Pace& pace = paces_[ration];
-  bucket.tokens =
-      std::min(std::max(pace.burst, 1.0), bucket.tokens + pace.rate * Seconds(now_ - bucket.updated_at));
+  const TokenRate& pace = paces_[ration];
+  bucket.tokens = std::min(std::max(pace.burst, 1.0),
+                           bucket.tokens + pace.per_second * Seconds(now_ - bucket.updated_at));
   bucket.updated_at = now_;
 }
 
@@ -38,35 +38,35 @@
   if (unix_s == unix_s_ && signs == signs_) return;
   unix_s_ = unix_s;
   signs_ = signs;
-  std::vector<Pace> paces;
-  for (std::size_t i = 0; i < paces_.size(); ++i) paces.push_back(table_.PaceAt(i, unix_s, signs));
+  std::vector<TokenRate> paces;
+  for (std::size_t i = 0; i < paces_.size(); ++i) paces.push_back(table_.RateAt(i, unix_s, signs));
   if (paces == paces_) return;
   // Refill all buckets up to now at the previous rates before the new ones take effect.
   for (std::uint32_t i = 0; i < default_buckets_.size(); ++i) Refill(i, default_buckets_[i]);
-  for (auto& [bucket, state] : buckets_) Refill(bucket.ration, state);
+  for (auto& [bucket, state] : buckets_) Refill(bucket.quota, state);
   paces_ = std::move(paces);
 }
 
-bool ShardBuckets::IsValid(const Chain& chain) const {
-  if (chain.size == 0 || chain.size > kDeepest) return false;
+bool ShardBuckets::IsValid(const BucketPath& chain) const {
+  if (chain.size == 0 || chain.size > kMaxQuotaDepth) return false;
   for (std::size_t i = 0; i < chain.size; ++i) {
-    std::uint32_t ration = chain.buckets[i].ration;
-    if (ration >= table_.rations.size()) return false;
-    int above = i + 1 < chain.size ? static_cast<int>(chain.buckets[i + 1].ration) : -1;
-    if (i + 1 < kDeepest && table_.rations[ration].inside != above) return false;
+    std::uint32_t ration = chain.buckets[i].quota;
+    if (ration >= table_.quotas.size()) return false;
+    int above = i + 1 < chain.size ? static_cast<int>(chain.buckets[i + 1].quota) : -1;
+    if (i + 1 < kMaxQuotaDepth && table_.quotas[ration].parent != above) return false;
   }
   return true;
 }
 
 ShardBuckets::BucketState& ShardBuckets::FindOrCreate(const Bucket& bucket) {
-  BucketState& default_bucket = default_buckets_[bucket.ration];
-  Refill(bucket.ration, default_bucket);
+  BucketState& default_bucket = default_buckets_[bucket.quota];
+  Refill(bucket.quota, default_bucket);
   auto at = buckets_.find(bucket);
   if (at == buckets_.end()) {
     if (buckets_.size() >= limits_.buckets) return default_bucket;
     at = buckets_.emplace(bucket, default_bucket).first;
   }
-  Refill(bucket.ration, at->second);
+  Refill(bucket.quota, at->second);
   return at->second;
 }
 
@@ -84,7 +84,7 @@
   if (missing <= 0) return 1;
   // On average half of the other claimants are served first.
   missing += (claim.bucket->unmet_tokens - 1) / 2;
-  double rate = paces_[claim.entry.chain.buckets[0].ration].rate;
+  double rate = paces_[claim.entry.chain.buckets[0].quota].per_second;
   double wait = rate > 0 ? std::ceil(missing / rate * 1000) : kMaxRetryAfterMs;
   return static_cast<std::uint32_t>(std::clamp(wait, 1.0, kMaxRetryAfterMs));
 }
@@ -125,9 +125,9 @@
       if (!IsValid(entry.chain)) continue;
       claim.bucket = &FindOrCreate(entry.chain.buckets[0]);
       claim.bucket->unmet_tokens = 0;
-      bool spare = entry.chain.size > 1 && table_.rations[entry.chain.buckets[0].ration].borrows;
+      bool spare = entry.chain.size > 1 && table_.quotas[entry.chain.buckets[0].quota].borrows;
       for (std::size_t i = 1; spare && i < entry.chain.size; ++i)
-        spare = FindOrCreate(entry.chain.buckets[i]).tokens > paces_[entry.chain.buckets[i].ration].burst / 2;
+        spare = FindOrCreate(entry.chain.buckets[i]).tokens > paces_[entry.chain.buckets[i].quota].burst / 2;
       claim.may_borrow = spare;
     }
   }
@@ -152,22 +152,22 @@
   for (std::uint32_t i = 0; i < default_buckets_.size(); ++i) Refill(i, default_buckets_[i]);
   std::erase_if(buckets_, [this](const auto& one) {
     BucketState bucket = one.second;
-    Refill(one.first.ration, bucket);
-    return bucket.tokens >= default_buckets_[one.first.ration].tokens;
+    Refill(one.first.quota, bucket);
+    return bucket.tokens >= default_buckets_[one.first.quota].tokens;
   });
 }
 
 double ShardBuckets::Tokens(const Bucket& bucket) const {
   auto at = buckets_.find(bucket);
-  BucketState state = at == buckets_.end() ? default_buckets_[bucket.ration] : at->second;
-  Refill(bucket.ration, state);
+  BucketState state = at == buckets_.end() ? default_buckets_[bucket.quota] : at->second;
+  Refill(bucket.quota, state);
   return state.tokens;
 }
 
 std::size_t ShardBuckets::bytes() const {
   constexpr std::size_t kNode = sizeof(std::pair<Bucket, BucketState>) + 2 * sizeof(void*);
   return sizeof *this + buckets_.size() * kNode + buckets_.bucket_count() * sizeof(void*) +
-         default_buckets_.size() * (sizeof(BucketState) + sizeof(Pace));
+         default_buckets_.size() * (sizeof(BucketState) + sizeof(TokenRate));
 }
 
 }  // namespace peatbend::rations
--- a/src/rations/shard_buckets.h
+++ b/src/rations/shard_buckets.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "rations/message.h"
-#include "rations/table.h"
+#include "rations/quota_table.h"
 
 namespace peatbend::rations {
 
@@ -24,7 +24,7 @@
 class ShardBuckets {
  public:
   // `start`: read after ShardOwnership::TakeOwnership. `table` must outlive this object.
-  ShardBuckets(const Table& table, ShardLimits limits, Time start, std::int64_t unix_s);
+  ShardBuckets(const QuotaTable& table, ShardLimits limits, Time start, std::int64_t unix_s);
 
   // Advances the clocks and updates the rates in force. `now` never goes back, `unix_s` may.
   void SetTime(Time now, std::int64_t unix_s, unsigned signs);
@@ -51,24 +51,24 @@
   };
   struct Hash {
     std::size_t operator()(const Bucket& bucket) const {
-      return bucket.of ^ (bucket.ration * 0x9e3779b97f4a7c15u);
+      return bucket.key_hash ^ (bucket.quota * 0x9e3779b97f4a7c15u);
     }
   };
   struct Claim;  // an entry of a request while GrantAll runs
-  bool IsValid(const Chain& chain) const;
+  bool IsValid(const BucketPath& chain) const;
   BucketState& FindOrCreate(const Bucket& bucket);
   void Refill(std::uint32_t ration, BucketState& bucket) const;
   std::uint32_t GrantShare(Claim& claim) const;
   void DistributeEvenly(std::vector<Claim>& claims) const;
   std::uint32_t RetryAfterMs(const Claim& claim) const;
 
-  const Table& table_;
+  const QuotaTable& table_;
   ShardLimits limits_;
   Time now_;
   std::int64_t unix_s_;
-  unsigned signs_ = kNoSign;
-  std::size_t rotation_ = 0;  // index of the claim served first, advanced with each call of GrantAll
-  std::vector<Pace> paces_;   // in force, by quota
+  unsigned signs_ = kNoCondition;
+  std::size_t rotation_ = 0;      // index of the claim served first, advanced with each call of GrantAll
+  std::vector<TokenRate> paces_;  // in force, by quota
   // By quota: the state of a new bucket. Buckets beyond the limit share it, so it never holds more than any
   // of them would.
   std::vector<BucketState> default_buckets_;
--- a/src/rations/wire.cpp
+++ b/src/rations/wire.cpp
@@ -32,7 +32,7 @@
   for (const Entry& entry : m.entries) {
     to.Array(2 + 2u * entry.chain.size).Number(entry.tokens).Number(entry.retry_after_ms);
     for (std::size_t i = 0; i < entry.chain.size; ++i)
-      to.Number(entry.chain.buckets[i].ration).Number(entry.chain.buckets[i].of);
+      to.Number(entry.chain.buckets[i].quota).Number(entry.chain.buckets[i].key_hash);
   }
 }
 
@@ -56,13 +56,14 @@
 
 bool Read(MsgpackReader& from, Entry& entry) {
   std::size_t fields = 0;
-  from.Array(fields, 4, 2 + 2 * kDeepest)
+  from.Array(fields, 4, 2 + 2 * kMaxQuotaDepth)
       .Number(entry.tokens, kMaxTokens)
       .Number(entry.retry_after_ms, kMaxRetryAfterMs);
   if (!from.ok() || fields % 2 != 0) return false;
   entry.chain.size = static_cast<std::uint8_t>(fields / 2 - 1);
   for (std::size_t i = 0; i < entry.chain.size; ++i)
-    from.Number(entry.chain.buckets[i].ration, 0xffffffffu).Number(entry.chain.buckets[i].of, kUnbounded);
+    from.Number(entry.chain.buckets[i].quota, 0xffffffffu)
+        .Number(entry.chain.buckets[i].key_hash, kUnbounded);
   return from.ok();
 }
 
--- a/src/router/ration_office.cpp
+++ b/src/router/ration_office.cpp
@@ -14,7 +14,7 @@
 namespace peatbend::net {
 namespace {
 
-constexpr rations::Span kTogether = std::chrono::milliseconds{5};
+constexpr rations::Span kSingleBucket = std::chrono::milliseconds{5};
 
 // NAME, NAME/ZONE, NAME/ZONE@ADDRESS:PORT
 struct SeatLine {
@@ -95,8 +95,8 @@
   peers_->OnCargo(peers::Peers::Lane::kRations,
                   [this](const std::string& from, const std::string& bytes) { Arrived(from, bytes); });
   decision_.SetQuotaCheck(this);
-  log_.Line("rations", fmt::format("book {:016x} of {} rations holds", office_.table().print,
-                                   office_.table().rations.size()));
+  log_.Line("rations", fmt::format("book {:016x} of {} rations holds", office_.table().fingerprint,
+                                   office_.table().quotas.size()));
   Tick();
 }
 
@@ -110,26 +110,27 @@
   peers_ = nullptr;
 }
 
-void RationOffice::SetBook(std::shared_ptr<const rations::Table> table) {
-  if (table->print == office_.table().print) return log_.Line("rations", "the book stays as it is");
-  log_.Line("rations", fmt::format("book {:016x} of {} rations holds, in place of {:016x}", table->print,
-                                   table->rations.size(), office_.table().print));
+void RationOffice::SetBook(std::shared_ptr<const rations::QuotaTable> table) {
+  if (table->fingerprint == office_.table().fingerprint)
+    return log_.Line("rations", "the book stays as it is");
+  log_.Line("rations", fmt::format("book {:016x} of {} rations holds, in place of {:016x}",
+                                   table->fingerprint, table->quotas.size(), office_.table().fingerprint));
   office_.SetTable(peers::Peers::Now(), std::move(table));
   Flush();
 }
 
 void RationOffice::Check(const Request& request, RequestEvent& event) {
-  rations::Asked asked;
+  rations::RequestAttributes asked;
   asked.tenant = request.tenant;
   asked.cls = request.cls;
   asked.write = request.write;
-  asked.repeat = request.retry;
+  asked.retry = request.retry;
   asked.client = request.client;
   asked.key = request.key;
   rations::Verdict verdict = office_.Admit(peers::Peers::Now(), asked);
-  if (!verdict.within_quota && verdict.over != rations::Over::kCountOnly) {
-    event.quota_verdict =
-        verdict.over == rations::Over::kReject ? QuotaVerdict::kReject : QuotaVerdict::kDeprioritize;
+  if (!verdict.within_quota && verdict.over != rations::OverLimitAction::kCountOnly) {
+    event.quota_verdict = verdict.over == rations::OverLimitAction::kReject ? QuotaVerdict::kReject
+                                                                            : QuotaVerdict::kDeprioritize;
     event.retry_after = verdict.retry_after;
   }
   // A request changes nothing but the token requests that are due.
@@ -153,7 +154,7 @@
   for (const rations::Message& message : messages) office_.Receive(now, from, message);
   // At once, without a wake-up of its own; many that come together are dealt with together.
   auto due = office_.NextDue();
-  if (due && *due <= now && now >= ticked_ + kTogether) return Tick();
+  if (due && *due <= now && now >= ticked_ + kSingleBucket) return Tick();
   Flush();
 }
 
@@ -165,8 +166,8 @@
 }
 
 unsigned RationOffice::Signs() const {
-  unsigned signs = rations::kNoSign;
-  if (decision_.balancer().origin_overloaded()) signs |= rations::kOriginStrained;
+  unsigned signs = rations::kNoCondition;
+  if (decision_.balancer().origin_overloaded()) signs |= rations::kOriginOverloaded;
   if (std::ranges::any_of(
           zones_, [this](const std::string& zone) { return peers_ != nullptr && peers_->ZoneGone(zone); }))
     signs |= rations::kZoneLost;
@@ -198,7 +199,7 @@
 std::vector<std::pair<std::string, std::uint64_t>> RationOffice::Figures() const {
   const rations::CreditLedger::Metrics& purse = office_.ledger().metrics();
   const rations::QuotaManager::Metrics& f = office_.metrics();
-  return {{"book", office_.table().print},
+  return {{"book", office_.table().fingerprint},
           {"within", purse.within_quota},
           {"over", purse.over_quota},
           {"alone", purse.without_owner},
--- a/tests/fuzz/rations_fuzz.cpp
+++ b/tests/fuzz/rations_fuzz.cpp
@@ -21,20 +21,20 @@
 constexpr std::uint64_t kOwnNonce = 7;
 const std::vector<failover::ReplicaName> kReplicaNames{{"me", "a"}, {"other", "b"}, {"third", "c"}};
 
-std::shared_ptr<const Table> TestTable() {
-  auto table = std::make_shared<Table>();
-  table->print = 5;
-  table->rations.push_back({.name = "all", .pace = {100, 20}});
-  table->rations.push_back({.name = "own", .per = kPerClient, .pace = {20, 10}, .inside = 0});
+std::shared_ptr<const QuotaTable> TestTable() {
+  auto table = std::make_shared<QuotaTable>();
+  table->fingerprint = 5;
+  table->quotas.push_back({.name = "all", .pace = {100, 20}});
+  table->quotas.push_back({.name = "own", .per = kPerClient, .pace = {20, 10}, .inside = 0});
   return table;
 }
 
 // A valid message of each kind that the manager expects, for the fuzzer to mutate.
 std::string Sample(unsigned which, std::uint64_t replica_set) {
-  Asked asked;
+  RequestAttributes asked;
   asked.client = 1 + which / 8 % 3;
   static const auto table = TestTable();
-  Chain chain = table->ChainOf(asked);
+  BucketPath chain = table->BucketPathOf(asked);
   Message m;
   m.kind = static_cast<MessageKind>(which % 8);
   m.shard = ShardOf(chain);
@@ -44,7 +44,7 @@
   m.generation = m.kind == MessageKind::kConfirm ? kOwnNonce : 3;
   m.sequence = 1 + which / 144 % 3;
   m.requester = m.kind == MessageKind::kGrant ? kOwnNonce : 9;
-  m.fingerprint = table->print;
+  m.fingerprint = table->fingerprint;
   if (m.kind == MessageKind::kTokenRequest || m.kind == MessageKind::kGrant)
     m.entries.push_back({chain, 1 + which / 432 % 100, 10});
   return Encode(replica_set, {m, m});
@@ -82,11 +82,11 @@
   std::vector<Outgoing> sent;
   auto step = [&](Span span) {
     for (std::uint64_t client : {1, 2, 3}) {
-      Asked asked;
+      RequestAttributes asked;
       asked.client = client;
       manager.Admit(now, asked);
     }
-    manager.Tick(now += span, 1'800'000'000, kNoSign);
+    manager.Tick(now += span, 1'800'000'000, kNoCondition);
     for (Outgoing& out : manager.DrainOutgoing()) sent.push_back(std::move(out));
   };
   step(0ms);
@@ -96,8 +96,8 @@
   }
   step(600ms);
   // Whatever was granted, the debt is within its limit, and every message sent can be decoded.
-  Bucket root = table->ChainOf({}).root();
-  if (manager.ledger().debt(root) > AheadOf(table->rations[0].pace)) std::abort();
+  Bucket root = table->BucketPathOf({}).root();
+  if (manager.ledger().debt(root) > CreditLimit(table->quotas[0].pace)) std::abort();
   for (const Outgoing& out : sent) {
     if (Decode(Encode(replicas.fingerprint(), {out.message}), replicas.fingerprint(), again) !=
         DecodeError::kNone)
--- a/tests/orders/quota_manager_model.cpp
+++ b/tests/orders/quota_manager_model.cpp
@@ -14,13 +14,13 @@
 
 std::string NameOf(std::size_t router) { return "r" + std::to_string(router); }
 
-std::shared_ptr<const rations::Table> ConfigOf(std::uint64_t fingerprint, double tokens_per_tick) {
-  auto table = std::make_shared<rations::Table>();
-  table->print = fingerprint;
-  rations::Ration ration;
+std::shared_ptr<const rations::QuotaTable> ConfigOf(std::uint64_t fingerprint, double tokens_per_tick) {
+  auto table = std::make_shared<rations::QuotaTable>();
+  table->fingerprint = fingerprint;
+  rations::Quota ration;
   ration.name = "all";
-  ration.pace = {.rate = 4 * tokens_per_tick, .burst = QuotaManagerModel::kBurst * tokens_per_tick};
-  table->rations.push_back(ration);
+  ration.rate = {.per_second = 4 * tokens_per_tick, .burst = QuotaManagerModel::kBurst * tokens_per_tick};
+  table->quotas.push_back(ration);
   return table;
 }
 
@@ -144,7 +144,9 @@
   switch (what) {
     case What::kRequest:
       --router.requests;
-      call = [now](QuotaManager& manager) { return manager.Admit(now, rations::Asked{}).within_quota; };
+      call = [now](QuotaManager& manager) {
+        return manager.Admit(now, rations::RequestAttributes{}).within_quota;
+      };
       break;
     case What::kSwitchConfig:
       router.has_next_config = true;
--- a/tests/orders/quota_manager_model.h
+++ b/tests/orders/quota_manager_model.h
@@ -84,7 +84,7 @@
   };
   struct Shared {  // by all states
     QuotaManagerModelSetup setup;
-    std::shared_ptr<const rations::Table> configs[2];
+    std::shared_ptr<const rations::QuotaTable> configs[2];
     failover::ReplicaSet replicas{{{"r0", "a"}, {"r1", "b"}, {"r2", "c"}}};
     mutable BoundedCache<StepResult> steps{1u << 14};
   };
--- a/tests/orders/quota_model.cpp
+++ b/tests/orders/quota_model.cpp
@@ -19,7 +19,7 @@
       processes_(setup.routers) {
   auto shared = std::make_shared<Shared>();
   shared->setup = setup;
-  shared->table = QuotaTable(setup.burst, setup.nested);
+  shared->table = MakeQuotaTable(setup.burst, setup.nested);
   shared_ = shared;
   replicas_.fill(Sealed(ReplicaState{ShardReplica(1), {}, 0}));
   for (std::size_t r = 0; r < static_cast<std::size_t>(setup.routers); ++r) routers_[r] = NewRouter(r, 1);
--- a/tests/orders/quota_model.h
+++ b/tests/orders/quota_model.h
@@ -67,7 +67,7 @@
   };
   struct Shared {  // by all states
     QuotaModelSetup setup;
-    std::shared_ptr<const rations::Table> table;
+    std::shared_ptr<const rations::QuotaTable> table;
     mutable BoundedCache<StepResult> steps{1u << 14};
     mutable BoundedCache<Response> responses{1u << 14};
     mutable BoundedCache<bool> informative{1u << 15};
--- a/tests/orders/quota_model_router.cpp
+++ b/tests/orders/quota_model_router.cpp
@@ -8,19 +8,19 @@
 using rations::Message;
 using Direction = Envelope::Direction;
 
-std::shared_ptr<const rations::Table> QuotaTable(int burst, int nested) {
-  auto table = std::make_shared<rations::Table>();
-  table->print = 1;
-  rations::Ration ration;
+std::shared_ptr<const rations::QuotaTable> MakeQuotaTable(int burst, int nested) {
+  auto table = std::make_shared<rations::QuotaTable>();
+  table->fingerprint = 1;
+  rations::Quota ration;
   ration.name = "all";
-  ration.pace = {.rate = 4, .burst = static_cast<double>(burst)};
-  table->rations.push_back(ration);
+  ration.rate = {.per_second = 4, .burst = static_cast<double>(burst)};
+  table->quotas.push_back(ration);
   if (nested == 0) return table;
   ration.name = "some";
   ration.tenants = {0};
-  ration.pace = {.rate = 2.0 * nested, .burst = 1};
-  ration.inside = 0;
-  table->rations.push_back(ration);
+  ration.rate = {.per_second = 2.0 * nested, .burst = 1};
+  ration.parent = 0;
+  table->quotas.push_back(ration);
   return table;
 }
 
@@ -41,7 +41,7 @@
 
 // ---- ReplayedLedger ---------------------------------------------------------------------------------------
 
-ReplayedLedger::ReplayedLedger(std::shared_ptr<const rations::Table> table, std::uint64_t nonce,
+ReplayedLedger::ReplayedLedger(std::shared_ptr<const rations::QuotaTable> table, std::uint64_t nonce,
                                std::uint64_t last)
     : table_(std::move(table)), nonce_(nonce), last_sequence_(last) {
   Do([](rations::CreditLedger&) { return true; });
@@ -62,7 +62,7 @@
 
 bool ReplayedLedger::Admit(int now, bool inside) {
   if (tokens_beside_ > 0) return tokens_beside_-- > 0;
-  rations::Asked asked;
+  rations::RequestAttributes asked;
   asked.tenant = inside ? 0 : 1;
   return Do(
       [now, asked](rations::CreditLedger& ledger) { return ledger.Admit(At(now), asked).within_quota; });
@@ -105,7 +105,8 @@
     router.shard->AppendState(bytes);
     if (router.shard->buckets() != nullptr) {
       add(std::bit_cast<std::uint64_t>(router.shard->buckets()->Tokens(OneChain().root())));
-      if (nested) add(std::bit_cast<std::uint64_t>(router.shard->buckets()->Tokens({.ration = 1, .of = 0})));
+      if (nested)
+        add(std::bit_cast<std::uint64_t>(router.shard->buckets()->Tokens({.quota = 1, .key_hash = 0})));
     }
   }
   add(router.pending.size());
--- a/tests/orders/quota_model_router.h
+++ b/tests/orders/quota_model_router.h
@@ -66,10 +66,10 @@
 
 inline rations::Time At(int tick) { return tick * std::chrono::milliseconds(250); }
 // A quota of one token per tick; `nested`: with an inner quota for tenant 0.
-std::shared_ptr<const rations::Table> QuotaTable(int burst, int nested);
+std::shared_ptr<const rations::QuotaTable> MakeQuotaTable(int burst, int nested);
 
-inline rations::Chain OneChain() {
-  rations::Chain chain;
+inline rations::BucketPath OneChain() {
+  rations::BucketPath chain;
   chain.size = 1;
   return chain;
 }
@@ -93,7 +93,8 @@
 class ReplayedLedger {
  public:
   // `last`: last_sequence() of the process's previous ledger.
-  ReplayedLedger(std::shared_ptr<const rations::Table> table, std::uint64_t nonce, std::uint64_t last = 0);
+  ReplayedLedger(std::shared_ptr<const rations::QuotaTable> table, std::uint64_t nonce,
+                 std::uint64_t last = 0);
   bool Admit(int now, bool inside);  // returns whether the request is within the quota
   bool due(int now) const { return ledger_->NextDue().value_or(rations::Time::max()) <= At(now); }
   bool outstanding() const { return outstanding_; }  // a token request
@@ -116,7 +117,7 @@
   using Call = std::function<bool(rations::CreditLedger&)>;
   bool Do(Call call);
 
-  std::shared_ptr<const rations::Table> table_;
+  std::shared_ptr<const rations::QuotaTable> table_;
   std::uint64_t nonce_, last_sequence_;
   std::vector<std::shared_ptr<const Call>> calls_;
   int tokens_beside_ = 0;
@@ -183,7 +184,7 @@
 // Applies one event to a copy of a router.
 class RouterStep {
  public:
-  RouterStep(const QuotaModelSetup& setup, std::shared_ptr<const rations::Table> table, int now,
+  RouterStep(const QuotaModelSetup& setup, std::shared_ptr<const rations::QuotaTable> table, int now,
              Router router)
       : setup_(setup), table_(std::move(table)), now_(now), router_(std::move(router)) {}
   StepResult Do(RouterEvent event, std::uint64_t target, const Envelope* envelope);
@@ -200,7 +201,7 @@
   void Tick();
 
   const QuotaModelSetup& setup_;
-  std::shared_ptr<const rations::Table> table_;
+  std::shared_ptr<const rations::QuotaTable> table_;
   int now_;
   Router router_;
   std::vector<ShardOwnership::Request> out_;
--- a/tests/rations/fleet_simulation.h
+++ b/tests/rations/fleet_simulation.h
@@ -24,7 +24,7 @@
   std::uint64_t seed = 1;
   double loss = 0.05, duplicate = 0.05;
   Span detection_delay = 1200ms;  // until other routers notice a crash or a stall
-  Pace pace{1000, 1000};
+  TokenRate pace{1000, 1000};
   bool hard = true;
 };
 
@@ -32,13 +32,13 @@
  public:
   explicit FleetSimulation(FleetSetup setup)
       : setup_(setup), random_(setup.seed, 5), replicas_(Names(setup.routers)) {
-    auto table = std::make_shared<Table>();
-    table->print = 1;
-    Ration all;
-    all.pace = setup.pace;
+    auto table = std::make_shared<QuotaTable>();
+    table->fingerprint = 1;
+    Quota all;
+    all.rate = setup.pace;
     all.hard = setup.hard;
-    table->rations.push_back(all);
-    table->Index(1, 1);
+    table->quotas.push_back(all);
+    table->BuildIndex(1, 1);
     table_ = table;
     current_.resize(setup.routers);
     for (std::size_t r = 0; r < setup.routers; ++r) Start(r);
@@ -133,7 +133,7 @@
   };
   BoundCheck CheckBound(Span window) const {
     BoundCheck check;
-    double credit = std::max(1.0, std::min(setup_.pace.rate * 0.1, setup_.pace.burst));
+    double credit = std::max(1.0, std::min(setup_.pace.per_second * 0.1, setup_.pace.burst));
     std::size_t end = 0;
     for (std::size_t i = 0; i < admitted_.size(); ++i) {
       Time from = admitted_[i], to = from + window;
@@ -142,7 +142,7 @@
         return one->started <= to && (one->manager || one->ended >= from);
       });
       double excess =
-          static_cast<double>(end - i) - setup_.pace.burst - setup_.pace.rate * world::Seconds(window);
+          static_cast<double>(end - i) - setup_.pace.burst - setup_.pace.per_second * world::Seconds(window);
       ++check.windows;
       check.over += excess > credit * static_cast<double>(processes) + 1e-6 ? 1 : 0;
       check.max_credit_used =
@@ -197,7 +197,7 @@
     auto& [tokens, at] = shares_[r];
     double routers = static_cast<double>(size());
     tokens = std::min(std::max(1.0, setup_.pace.burst / routers),
-                      tokens + setup_.pace.rate / routers * world::Seconds(now() - at));
+                      tokens + setup_.pace.per_second / routers * world::Seconds(now() - at));
     at = now();
     if (tokens < 1) return;
     tokens -= 1;
@@ -231,7 +231,7 @@
       WhenRunning(process, [this, process] {
         Process& one = *processes_[process];
         one.armed = Time::max();
-        one.manager->Tick(LocalTime(process), LocalTime(process) / 1s, kNoSign);
+        one.manager->Tick(LocalTime(process), LocalTime(process) / 1s, kNoCondition);
         Flush(process);
       });
     });
@@ -276,7 +276,7 @@
   world::Agenda agenda_{1s};
   world::Random random_;
   failover::ReplicaSet replicas_;
-  std::shared_ptr<const Table> table_;
+  std::shared_ptr<const QuotaTable> table_;
   std::vector<std::unique_ptr<Process>> processes_;
   std::vector<std::size_t> current_;
   std::set<std::pair<std::size_t, std::size_t>> cuts_;
--- a/tests/rations/fleet_test.cpp
+++ b/tests/rations/fleet_test.cpp
@@ -86,7 +86,7 @@
   FleetSimulation fleet(setup);
   fleet.routes_differ = routes_differ;
   Time until = large ? 61s : 401s;
-  double rate = 5 * setup.pace.rate;
+  double rate = 5 * setup.pace.per_second;
   // Demand pauses, so that buckets fill up and are emptied at once.
   for (Time at = 1s; at < until; at += 8s) {
     fleet.agenda().At(at, [&fleet, rate, at, seed] {
--- a/tests/rations/hard_cases_test.cpp
+++ b/tests/rations/hard_cases_test.cpp
@@ -16,7 +16,7 @@
   rig.Sleep(50ms);
   auto cut = Clock::now();
   rig.Sleep(1s);
-  CHECK(rig.clients().Admitted(cut) <= AheadOf(kDefaultPace));
+  CHECK(rig.clients().Admitted(cut) <= CreditLimit(kDefaultPace));
   rig.SplitInThree(false);
   CHECK(rig.WaitForAdmissions(50, 2s));
   rig.CheckBound(kDefaultPace, 5);
@@ -47,7 +47,7 @@
 // The cache server is slow, so requests are outstanding while their router changes the configuration.
 TEST_CASE(
     "rations books: new configuration at some routers; each bound holds, pending requests are answered") {
-  const Pace lower{50, 10};
+  const TokenRate lower{50, 10};
   Rig rig(5, ConfigWith(kDefaultPace), 3, 5, 12);
   rig.clients().SetServiceTime(400ms);
   rig.clients().SetIntervals(10ms);
@@ -75,8 +75,9 @@
   }
   CHECK(spanning > 0);
   CHECK(under_lower.size() >= 40);
-  CHECK(MaxExcess(under_former, kDefaultPace.rate, kDefaultPace.burst, 5 * AheadOf(kDefaultPace)) <= 1);
-  CHECK(MaxExcess(under_lower, lower.rate, lower.burst, 5 * AheadOf(lower)) <= 1);
+  CHECK(MaxExcess(under_former, kDefaultPace.per_second, kDefaultPace.burst, 5 * CreditLimit(kDefaultPace)) <=
+        1);
+  CHECK(MaxExcess(under_lower, lower.per_second, lower.burst, 5 * CreditLimit(lower)) <= 1);
 }
 
 TEST_CASE("rations back: clients that all ask at once and honor the retry time are all served") {
@@ -89,7 +90,7 @@
   auto from = Clock::now();
   std::uint64_t rejected = rig.clients().rejected();
   rig.Sleep(1s);
-  CHECK(static_cast<double>(rig.clients().Admitted(from)) >= 0.8 * kDefaultPace.rate);
+  CHECK(static_cast<double>(rig.clients().Admitted(from)) >= 0.8 * kDefaultPace.per_second);
   MESSAGE("rejections per admission: ", static_cast<double>(rig.clients().rejected() - rejected) /
                                             static_cast<double>(rig.clients().Admitted(from)));
   rig.CheckBound(kDefaultPace, 5);
--- a/tests/rations/process_rig.h
+++ b/tests/rations/process_rig.h
@@ -17,7 +17,7 @@
 #include <vector>
 
 #include "processes/peer_fleet.h"
-#include "rations/table.h"
+#include "rations/quota_table.h"
 #include "rations/test_clients.h"
 
 namespace peatbend::rations::test {
@@ -38,11 +38,11 @@
 inline std::string ConfigWith(const std::string& statements) {
   return "book reads 1\nration all {\n  counts everything;\n  " + statements + "\n}\n";
 }
-inline std::string ConfigWith(const Pace& pace, const std::string& more = "hard;") {
-  return ConfigWith(fmt::format("rate {} a second; burst {}; {}", pace.rate, pace.burst, more));
+inline std::string ConfigWith(const TokenRate& pace, const std::string& more = "hard;") {
+  return ConfigWith(fmt::format("rate {} a second; burst {}; {}", pace.per_second, pace.burst, more));
 }
 
-inline const Pace kDefaultPace{100, 20};  // of most tests
+inline const TokenRate kDefaultPace{100, 20};  // of most tests
 
 class Rig {
  public:
@@ -140,7 +140,7 @@
   }
   // Checks the requests sent since `from` and admitted against the bound for so many processes. The bound is
   // of one quota configuration: for a period in which it changes, the bounds of both add up.
-  void CheckBound(const Pace& pace, std::size_t processes, Clock::time_point from = {}) {
+  void CheckBound(const TokenRate& pace, std::size_t processes, Clock::time_point from = {}) {
     CheckBound(
         pace, [=](Clock::time_point, Clock::time_point) { return processes; }, from);
   }
@@ -149,7 +149,7 @@
     Clock::time_point started, ended;
   };
   // The same with upgrades: in a period that overlaps an upgrade there is one process more.
-  void CheckBound(const Pace& pace, std::size_t routers, const std::vector<Upgrade>& upgrades) {
+  void CheckBound(const TokenRate& pace, std::size_t routers, const std::vector<Upgrade>& upgrades) {
     auto processes = [&](Clock::time_point from, Clock::time_point to) {
       auto overlapping = std::ranges::count_if(
           upgrades, [&](const Upgrade& one) { return one.started < to && from < one.ended; });
@@ -160,16 +160,16 @@
 
  private:
   // `processes`: returns how many there were in a period.
-  void CheckBound(const Pace& pace,
+  void CheckBound(const TokenRate& pace,
                   const std::function<std::size_t(Clock::time_point, Clock::time_point)>& processes,
                   Clock::time_point since) {
     auto all = clients_->Admissions();
     std::erase_if(all, [&](const Admission& one) { return one.sent < since; });
     CHECK(all.size() > 20);
     auto credit = [&](Clock::time_point from, Clock::time_point to) {
-      return static_cast<double>(processes(from, to)) * AheadOf(pace);
+      return static_cast<double>(processes(from, to)) * CreditLimit(pace);
     };
-    double excess = MaxExcess(all, pace.rate, pace.burst, credit);
+    double excess = MaxExcess(all, pace.per_second, pace.burst, credit);
     CHECK_MESSAGE(excess <= kToleranceTokens, "largest excess ", excess, " of ", all.size(), " admissions");
   }
 
--- a/tests/rations/processes_test.cpp
+++ b/tests/rations/processes_test.cpp
@@ -10,7 +10,7 @@
 namespace peatbend::rations::test {
 namespace {
 
-const Pace kBurstPace{20, 60};
+const TokenRate kBurstPace{20, 60};
 
 // Lets the bucket of kBurstPace fill and uses half of the burst: an owner that then grants it anew exceeds
 // the bound.
@@ -30,7 +30,7 @@
   rig.Sleep(2s);
   auto from = Clock::now();
   rig.Sleep(3s);
-  CHECK(rig.clients().Admitted(from) >= 0.95 * 3 * kDefaultPace.rate);
+  CHECK(rig.clients().Admitted(from) >= 0.95 * 3 * kDefaultPace.per_second);
   CHECK(rig.clients().rejected(4) > 300);
   rig.CheckBound(kDefaultPace, 5);
 }
@@ -44,7 +44,7 @@
   rig.Sleep(50ms);
   auto cut = Clock::now();
   rig.Sleep(2s);
-  CHECK(rig.clients().Admitted(cut) <= 2 * AheadOf(kDefaultPace));
+  CHECK(rig.clients().Admitted(cut) <= 2 * CreditLimit(kDefaultPace));
   rig.fleet().Split({3, 4}, {0, 1, 2}, false);
   CHECK(rig.WaitForAdmissions(50, 2s));
   rig.Sleep(1s);
@@ -59,7 +59,7 @@
   rig.Sleep(50ms);
   auto cut = Clock::now();
   rig.Sleep(2s);
-  CHECK(rig.clients().Admitted(cut) <= 5 * AheadOf(kDefaultPace));
+  CHECK(rig.clients().Admitted(cut) <= 5 * CreditLimit(kDefaultPace));
   rig.SplitInThree(false);
   CHECK(rig.WaitForAdmissions(50, 2s));
   rig.Sleep(1s);
@@ -172,13 +172,13 @@
   REQUIRE(rig.WaitForAdmissions(50, 5s));
   auto from = Clock::now();
   rig.Sleep(4s);
-  CHECK(rig.clients().Admitted(from) >= 0.5 * 4 * kDefaultPace.rate);
+  CHECK(rig.clients().Admitted(from) >= 0.5 * 4 * kDefaultPace.per_second);
   CHECK(rig.fleet().links().counts().lost > 0);
   rig.CheckBound(kDefaultPace, 5);
 }
 
 TEST_CASE("rations book: a new configuration at one router, then at all; a faulty one is rejected") {
-  const Pace lower{50, 10};
+  const TokenRate lower{50, 10};
   Rig rig(5, ConfigWith(kDefaultPace), 3, 5);
   rig.clients().SetIntervals(10ms);
   REQUIRE(rig.WaitForAdmissions(50, 5s));
@@ -205,8 +205,8 @@
   auto from = Clock::now();
   rig.Sleep(3s);
   std::size_t admitted = rig.clients().Admitted(from);
-  CHECK(static_cast<double>(admitted) <= lower.burst + 3.1 * lower.rate + 5 * AheadOf(lower));
-  CHECK(admitted >= 0.8 * 3 * lower.rate);
+  CHECK(static_cast<double>(admitted) <= lower.burst + 3.1 * lower.per_second + 5 * CreditLimit(lower));
+  CHECK(admitted >= 0.8 * 3 * lower.per_second);
 }
 
 TEST_CASE("rations upgrade: successors on the same addresses; the predecessors use their credit") {
@@ -228,7 +228,7 @@
 }
 
 TEST_CASE("rations upgrade: the configuration read last stays in force when the successor is lost") {
-  const Pace lower{50, 10};
+  const TokenRate lower{50, 10};
   Rig rig(5, ConfigWith(kDefaultPace), 3, 5);
   std::uint64_t former = rig.Metrics(4)["rations.book"];
   for (std::size_t i = 0; i < 5; ++i) rig.WriteQuotas(i, ConfigWith(lower));
@@ -285,24 +285,24 @@
   from = Clock::now();
   rig.Sleep(2s);
   admitted = static_cast<double>(rig.clients().Admitted(from));
-  CHECK(admitted >= 0.8 * 2 * kDefaultPace.rate);
-  CHECK(admitted <= kDefaultPace.burst + 2.1 * kDefaultPace.rate + 5 * AheadOf(kDefaultPace));
+  CHECK(admitted >= 0.8 * 2 * kDefaultPace.per_second);
+  CHECK(admitted <= kDefaultPace.burst + 2.1 * kDefaultPace.per_second + 5 * CreditLimit(kDefaultPace));
 }
 
 TEST_CASE("rations soft: soft quotas without their replicas reject") {
-  CheckSoftQuota("reject", 0, 2 * AheadOf(kDefaultPace));
+  CheckSoftQuota("reject", 0, 2 * CreditLimit(kDefaultPace));
 }
 TEST_CASE("rations soft: soft quotas without their replicas admit each router's own share") {
-  double share = kDefaultPace.rate / 5 * 2;  // in two seconds, at one router
+  double share = kDefaultPace.per_second / 5 * 2;  // in two seconds, at one router
   CheckSoftQuota("own share", 2 * 0.8 * share,
-                 2 * (1.1 * share + kDefaultPace.burst / 5 + AheadOf(kDefaultPace)));
+                 2 * (1.1 * share + kDefaultPace.burst / 5 + CreditLimit(kDefaultPace)));
 }
 TEST_CASE("rations soft: soft quotas without their replicas are open") {
-  CheckSoftQuota("open", 4 * kDefaultPace.rate, 1e9);
+  CheckSoftQuota("open", 4 * kDefaultPace.per_second, 1e9);
 }
 
 TEST_CASE("rations clients: a quota per client, used at all routers at once") {
-  const Pace own{5, 3};
+  const TokenRate own{5, 3};
   Rig rig(5, "book reads 1\nration own { counts each shop; rate 5 a second; burst 3; hard; }\n");
   rig.clients().SetIntervals(20ms);
   rig.Sleep(4s);
@@ -311,8 +311,8 @@
     std::vector<Admission> of_client;
     std::ranges::copy_if(all, std::back_inserter(of_client),
                          [&](const Admission& one) { return one.client == client; });
-    CHECK(of_client.size() >= 0.7 * 4 * own.rate);
-    CHECK(MaxExcess(of_client, own.rate, own.burst, 5 * AheadOf(own)) <= 1);
+    CHECK(of_client.size() >= 0.7 * 4 * own.per_second);
+    CHECK(MaxExcess(of_client, own.per_second, own.burst, 5 * CreditLimit(own)) <= 1);
   }
 }
 
--- a/tests/rations/quota_manager_test.cpp
+++ b/tests/rations/quota_manager_test.cpp
@@ -8,8 +8,8 @@
 
 #include "doctest/doctest.h"
 #include "peers/message.h"
-#include "rations/books.h"
 #include "rations/owned_shard.h"
+#include "rations/quota_table_test_util.h"
 #include "rations/wire.h"
 
 namespace peatbend::rations {
@@ -22,9 +22,9 @@
 
 // A shard whose ownership has been taken, with its three replicas.
 struct OwnedShardFixture {
-  Table table = TableOf({Of({10, 100})});
+  QuotaTable table = MakeTable({MakeQuota({10, 100})});
   std::vector<ShardOwnership::Request> out;
-  OwnedShard shard{ShardOf(table.ChainOf(By(0))), Ballot{1, "k", 3, 1}, 0s, out};
+  OwnedShard shard{ShardOf(table.BucketPathOf(RequestBy(0))), Ballot{1, "k", 3, 1}, 0s, out};
   std::vector<ShardReplica> replicas{ShardReplica(11), ShardReplica(12), ShardReplica(13)};
   OwnedShardFixture() {
     Deliver();
@@ -38,11 +38,11 @@
   Message Request(std::uint64_t sequence, std::uint32_t tokens, std::uint64_t requester = 5) {
     Message request;
     request.kind = MessageKind::kTokenRequest;
-    request.shard = ShardOf(table.ChainOf(By(0)));
+    request.shard = ShardOf(table.BucketPathOf(RequestBy(0)));
     request.sequence = sequence;
     request.requester = requester;
-    request.fingerprint = table.print;
-    request.entries = {Want(table.ChainOf(By(0)), tokens)};
+    request.fingerprint = table.fingerprint;
+    request.entries = {EntryOf(table.BucketPathOf(RequestBy(0)), tokens)};
     return request;
   }
 };
@@ -50,7 +50,7 @@
 TEST_CASE("owned shard: a request is answered once confirmed, identically when repeated, never if older") {
   OwnedShardFixture at;
   CHECK_FALSE(at.shard.HandleRequest(1s, "a", at.Request(2, 4)));
-  CHECK(at.shard.GrantQueued(1s, 0, kNoSign, at.out) == 4);
+  CHECK(at.shard.GrantQueued(1s, 0, kNoCondition, at.out) == 4);
   CHECK(at.shard.TakeConfirmedGrants().empty());
   CHECK_FALSE(at.shard.HandleRequest(1s, "a", at.Request(2, 4)));
   at.Deliver();
@@ -62,18 +62,18 @@
   REQUIRE(again);
   CHECK(*again == grants[0].message);
   CHECK_FALSE(at.shard.HandleRequest(2s, "a", at.Request(1, 4)));
-  CHECK(at.shard.GrantQueued(2s, 0, kNoSign, at.out) == 0);
+  CHECK(at.shard.GrantQueued(2s, 0, kNoCondition, at.out) == 0);
 }
 
 TEST_CASE("owned shard: another table grants no answered request again, and loses no other") {
   OwnedShardFixture at;
   at.shard.HandleRequest(1s, "a", at.Request(1, 10));
-  CHECK(at.shard.GrantQueued(1s, 0, kNoSign, at.out) == 10);
+  CHECK(at.shard.GrantQueued(1s, 0, kNoCondition, at.out) == 10);
   at.shard.SetTable(at.table, {}, 1s, 0);
   at.shard.HandleRequest(2s, "a", at.Request(1, 10));
-  CHECK(at.shard.GrantQueued(2s, 0, kNoSign, at.out) == 0);
+  CHECK(at.shard.GrantQueued(2s, 0, kNoCondition, at.out) == 0);
   at.shard.HandleRequest(2s, "a", at.Request(2, 4));
-  CHECK(at.shard.GrantQueued(2s, 0, kNoSign, at.out) == 4);
+  CHECK(at.shard.GrantQueued(2s, 0, kNoCondition, at.out) == 4);
 }
 
 TEST_CASE("owned shard: no grant is sent once the replicas have promised another ballot") {
@@ -85,7 +85,7 @@
     prepare.ballot = {2, "z", 1, 1};
     CHECK(at.replicas[replica].Handle(prepare).kind == MessageKind::kPromise);
   }
-  at.shard.GrantQueued(1s, 0, kNoSign, at.out);
+  at.shard.GrantQueued(1s, 0, kNoCondition, at.out);
   at.Deliver();
   CHECK(at.shard.TakeConfirmedGrants().empty());
   CHECK_FALSE(at.shard.is_owner());
@@ -94,7 +94,7 @@
 // ---- QuotaManager -----------------------------------------------------------------------------------------
 
 struct ThreeManagers {
-  std::shared_ptr<const Table> table;
+  std::shared_ptr<const QuotaTable> table;
   std::vector<std::unique_ptr<QuotaManager>> managers;
   explicit ThreeManagers(std::uint64_t fingerprint) : table(TableWith(fingerprint)) {
     failover::ReplicaSet replicas({{"a", "x"}, {"b", "y"}, {"c", "z"}});
@@ -102,10 +102,10 @@
       managers.push_back(std::make_unique<QuotaManager>(QuotaManagerOptions{}, replicas, Name(i), i + 1, i,
                                                         table, 0s, [](const std::string&) { return true; }));
   }
-  static std::shared_ptr<const Table> TableWith(std::uint64_t fingerprint) {
-    Table made = TableOf({Of({100, 100})});
-    made.print = fingerprint;
-    return std::make_shared<const Table>(made);
+  static std::shared_ptr<const QuotaTable> TableWith(std::uint64_t fingerprint) {
+    QuotaTable made = MakeTable({MakeQuota({100, 100})});
+    made.fingerprint = fingerprint;
+    return std::make_shared<const QuotaTable>(made);
   }
   static std::string Name(std::size_t i) { return std::string(1, static_cast<char>('a' + i)); }
   // Every message is delivered, one millisecond later.
@@ -113,7 +113,7 @@
     for (Time now = from; now < to; now += 1ms) {
       std::vector<std::pair<std::string, Outgoing>> sent;
       for (std::size_t i = 0; i < 3; ++i) {
-        if (managers[i]->NextDue() && *managers[i]->NextDue() <= now) managers[i]->Tick(now, 0, kNoSign);
+        if (managers[i]->NextDue() && *managers[i]->NextDue() <= now) managers[i]->Tick(now, 0, kNoCondition);
         for (Outgoing& out : managers[i]->DrainOutgoing()) sent.emplace_back(Name(i), std::move(out));
       }
       for (auto& [sender, out] : sent)
@@ -132,13 +132,13 @@
   ThreeManagers at(1);
   at.Run(0s, 1s);
   CHECK(at.Owner() == 3);
-  at.managers[1]->Admit(1s, By(0));
+  at.managers[1]->Admit(1s, RequestBy(0));
   at.Run(1s, 1s + 300ms);
   REQUIRE(at.Owner() < 3);
   std::size_t owned = 0;
   for (auto& manager : at.managers) owned += manager->owned_shards();
   CHECK(owned == 1);
-  CHECK(at.managers[1]->Admit(1s + 300ms, By(0)).within_quota);
+  CHECK(at.managers[1]->Admit(1s + 300ms, RequestBy(0)).within_quota);
 }
 
 // Guards against two processes that run under the name of one replica: the one without the replica's address
@@ -151,12 +151,12 @@
   at.managers[0] = std::make_unique<QuotaManager>(options, replicas, "a", 9, 9, at.table, 0s,
                                                   [](const std::string&) { return true; });
   Message prepare;
-  prepare.shard = ShardOf(at.table->ChainOf(By(0)));
+  prepare.shard = ShardOf(at.table->BucketPathOf(RequestBy(0)));
   prepare.ballot = Ballot{1, "b", 7, 1};
   at.managers[0]->Receive(0s, "b", prepare);
   CHECK(at.managers[0]->DrainOutgoing().empty());
-  for (int i = 0; i < 10; ++i) CHECK(at.managers[0]->Admit(0s, By(0)).within_quota);
-  CHECK_FALSE(at.managers[0]->Admit(0s, By(0)).within_quota);
+  for (int i = 0; i < 10; ++i) CHECK(at.managers[0]->Admit(0s, RequestBy(0)).within_quota);
+  CHECK_FALSE(at.managers[0]->Admit(0s, RequestBy(0)).within_quota);
   at.Run(0s, 4s);
   CHECK(at.managers[0]->owned_shards() == 0);
   CHECK(at.Owner() < 3);
@@ -165,7 +165,7 @@
 
 TEST_CASE("quota manager: another table starts with empty buckets, not served by owners of the former") {
   ThreeManagers at(1);
-  at.managers[1]->Admit(1s, By(0));
+  at.managers[1]->Admit(1s, RequestBy(0));
   at.Run(1s, 2s + 60ms);
   std::size_t owner = at.Owner(), other = (owner + 1) % 3;
   REQUIRE(owner < 3);
@@ -173,7 +173,8 @@
   auto admit = [&](Time from, Time to) {
     int within = 0;
     for (Time now = from; now < to; now += 20ms) {
-      for (int i = 0; i < 50; ++i) within += at.managers[other]->Admit(now, By(0)).within_quota ? 1 : 0;
+      for (int i = 0; i < 50; ++i)
+        within += at.managers[other]->Admit(now, RequestBy(0)).within_quota ? 1 : 0;
       at.Run(now, now + 20ms);
     }
     return within;
@@ -202,7 +203,8 @@
   bool on = true;
   words >> rate >> clients >> replicas >> seconds >> on;
   double each = std::max(1.0, 15 * rate / static_cast<double>(clients));
-  auto table = std::make_shared<const Table>(TableOf({Of({each, std::max(10.0, 2 * each)}, -1, kPerClient)}));
+  auto table = std::make_shared<const QuotaTable>(
+      MakeTable({MakeQuota({each, std::max(10.0, 2 * each)}, -1, kPerClient)}));
   std::vector<failover::ReplicaName> names;
   auto name = [](std::size_t i) { return "r" + std::to_string(i); };
   for (std::size_t i = 0; i < replicas; ++i) names.push_back({name(i), "a"});
@@ -229,14 +231,14 @@
     }
   };
   auto tick = [&](std::size_t i, Time now) {
-    if (managers[i]->NextDue().value_or(Time::max()) <= now) managers[i]->Tick(now, 0, kNoSign);
+    if (managers[i]->NextDue().value_or(Time::max()) <= now) managers[i]->Tick(now, 0, kNoCondition);
     flush(i, now);
   };
   for (Time now{}; now < std::chrono::seconds(seconds); now += 250us) {
     for (; std::chrono::duration<double>(next) <= now; next += gap(random), ++requests) {
       std::size_t i = random() % 5;
       std::uint64_t client = random() % clients;
-      over += on && !managers[i]->Admit(now, By(0, client)).within_quota ? 1 : 0;
+      over += on && !managers[i]->Admit(now, RequestBy(0, client)).within_quota ? 1 : 0;
     }
     for (; !in_flight.empty() && std::get<0>(in_flight.front()) <= now; in_flight.pop_front()) {
       auto& [at, to, datagram] = in_flight.front();
