--- a/src/failover/ownership_manager.h
+++ b/src/failover/ownership_manager.h
@@ -26,17 +26,14 @@
 namespace peatbend::failover {
 
 struct OwnershipOptions {
-  Duration send_permit = std::chrono::milliseconds{200};
-  Duration commit_timeout =
-      std::chrono::milliseconds{250};  // for an attempt to be committed; then there is no quorum
-  Duration outcome_timeout = std::chrono::milliseconds{500};  // for an outcome to be committed
+  Duration send_permit = std::chrono::milliseconds{200};      // see OperationOwnership
+  Duration commit_timeout = std::chrono::milliseconds{250};   // for an attempt; then there is no quorum
+  Duration outcome_timeout = std::chrono::milliseconds{500};  // for an outcome
   Duration retry_interval = std::chrono::milliseconds{40}, read_interval = std::chrono::milliseconds{50};
-  Duration sync_interval =
-      std::chrono::milliseconds{200};  // between requests for state transfers, after a start
-  Duration reply_margin =
-      std::chrono::milliseconds{15};  // before the deadline, for the reply to reach the client
-  bool serve_untracked =
-      false;  // true: without a quorum new operations run untracked; false: they are rejected
+  Duration sync_interval = std::chrono::milliseconds{200};  // between requests for state transfers
+  Duration reply_margin = std::chrono::milliseconds{15};    // for the reply to reach the client in time
+  // True: without a quorum new operations run untracked; false: they are rejected.
+  bool serve_untracked = false;
   std::size_t value_bytes = 16u << 10;  // a larger value is not stored in the record
   RecordLimits limits;
 };
@@ -55,8 +52,8 @@
     OperationOutcome outcome = OperationOutcome::kNone;
     std::string value;
     bool no_quorum = false;  // no majority of the replicas could be reached
-    bool committed =
-        false;  // true: the outcome holds for all clients; false: this router gave up (deadline or no quorum)
+    // True: the outcome holds for all clients; false: this router gave up (deadline or no quorum).
+    bool committed = false;
   };
   struct Metrics {
     std::uint64_t tracked = 0, untracked = 0, taken_over = 0, joined = 0, answered_by_other = 0,
--- a/src/failover/record_replica.h
+++ b/src/failover/record_replica.h
@@ -19,8 +19,8 @@
 namespace peatbend::failover {
 
 struct RecordLimits {
-  Duration lifetime = std::chrono::seconds{
-      20};  // of a record since it last changed: the longest class deadline and retain_ms
+  // Of a record since it last changed: the longest class deadline and retain_ms.
+  Duration lifetime = std::chrono::seconds{20};
   std::size_t bytes = 4u << 20;  // memory limit of all records together
 };
 
@@ -87,9 +87,8 @@
   std::uint64_t generation_ = 0, last_sync_request_ = 0;
   ReplicasFor replicas_for_;
   std::map<std::string, std::uint64_t> known_generations_;  // highest, by requester of a state transfer
-  std::map<std::string, std::set<std::string>>
-      completed_syncs_;  // by sender of a completed transfer: the third replicas it covers, see
-                         // Message::complete_for
+  // By sender of a completed transfer: the third replicas it covers, see Message::complete_for.
+  std::map<std::string, std::set<std::string>> completed_syncs_;
   std::map<std::string, IncomingSync> incoming_syncs_;
   std::map<std::string, StoredRecord> stored_;
   std::size_t bytes_ = 0;
--- a/tests/failover/failover_simulation.h
+++ b/tests/failover/failover_simulation.h
@@ -126,8 +126,8 @@
     std::uint64_t generation = 0;
     std::unique_ptr<OwnershipManager> manager;
     OwnershipManager::RequestNumber last = 0;
-    std::map<OwnershipManager::RequestNumber, std::size_t>
-        requests;  // open requests, and the index of the operation of each
+    // Open requests, and the index of the operation of each.
+    std::map<OwnershipManager::RequestNumber, std::size_t> requests;
     std::map<OwnershipManager::RequestNumber, TimePoint> deadlines;
     TimePoint stalled_until{};
     TimePoint timer_at{};
--- a/tests/orders/failover_model.cpp
+++ b/tests/orders/failover_model.cpp
@@ -30,15 +30,15 @@
 
 std::vector<FailoverModel::Event> FailoverModel::Events() const {
   std::vector<Event> events;
-  auto may = [&](std::string name, auto what, std::shared_ptr<const InFlightMessage> in_flight = {}) {
+  auto add = [&](std::string name, auto what, std::shared_ptr<const InFlightMessage> in_flight = {}) {
     events.push_back({std::move(name), std::move(in_flight), what});
   };
   for (std::size_t i = 0; i < in_flight_.size(); ++i) {
     if (i > 0 && in_flight_[i]->Same(*in_flight_[i - 1])) continue;
-    may(
+    add(
         "", [i](FailoverModel& t) { t.Deliver(i, false); }, in_flight_[i]);
     if (budget_.duplicates > 0)
-      may(
+      add(
           "delivers and keeps ", [i](FailoverModel& t) { t.Deliver(i, true); }, in_flight_[i]);
   }
   for (std::size_t r = 0; r < routers_.size(); ++r) {
@@ -46,15 +46,15 @@
     if (!router.alive) continue;
     std::string name = "r" + std::to_string(r);
     if (router.in_progress) {
-      may(name + ": a value", [r](FailoverModel& t) { t.EndAttempt(r, true, true); });
-      may(name + ": no reply", [r](FailoverModel& t) { t.EndAttempt(r, false, true); });
+      add(name + ": a value", [r](FailoverModel& t) { t.EndAttempt(r, true, true); });
+      add(name + ": no reply", [r](FailoverModel& t) { t.EndAttempt(r, false, true); });
       if (setup_.lost_dials)
-        may(name + ": never ran", [r](FailoverModel& t) { t.EndAttempt(r, false, false); });
+        add(name + ": never ran", [r](FailoverModel& t) { t.EndAttempt(r, false, false); });
     }
     auto phase = router.ownership.record().phase();
     if (router.take_overs > 0 &&
         (phase == RecordProposer::Phase::kLost || (phase == RecordProposer::Phase::kIdle && r > 0))) {
-      may(name + " takes over", [r](FailoverModel& t) {
+      add(name + " takes over", [r](FailoverModel& t) {
         t.Change(r, [&](Router& one, Outs& out) {
           --one.take_overs;
           t.TakeOver(r, one, out);
@@ -62,17 +62,17 @@
       });
     }
     if (setup_.second_client && r == 1 && phase == RecordProposer::Phase::kIdle)
-      may(name + " receives the request", [r](FailoverModel& t) {
+      add(name + " receives the request", [r](FailoverModel& t) {
         t.Change(r, [&](Router& one, Outs& out) { t.RequestAttempt(r, one, out); });
       });
     if (budget_.deaths > 0)
-      may(name + " dies", [r](FailoverModel& t) {
+      add(name + " dies", [r](FailoverModel& t) {
         --t.budget_.deaths;
         t.Change(r, [](Router& one, Outs&) { one.alive = false; });
       });
   }
   for (std::size_t s = 0; budget_.restarts > 0 && s < replicas_.size(); ++s) {
-    may("replica " + std::to_string(s) + " restarts", [s](FailoverModel& t) {
+    add("replica " + std::to_string(s) + " restarts", [s](FailoverModel& t) {
       --t.budget_.restarts;
       failover::TimePoint started = t.setup_.mutant == Mutant::kEarlyVote ? -kLongAgo : t.now_;
       std::uint64_t generation = t.replicas_[s]->generation + 1;
@@ -81,16 +81,16 @@
   }
   for (std::size_t s = 0; budget_.syncs > 0 && s < replicas_.size(); ++s) {
     if (replicas_[s]->generation == 1) continue;
-    may("replica " + std::to_string(s) + " asks for state", [s](FailoverModel& t) { t.RequestSyncs(s); });
+    add("replica " + std::to_string(s) + " asks for state", [s](FailoverModel& t) { t.RequestSyncs(s); });
   }
   for (std::size_t i = 0; i < syncs_.size(); ++i) {
     const SyncMessages& sync = *syncs_[i];
-    may("sync: replica " + std::to_string(sync.from) + " -> replica " + std::to_string(sync.to) + ": " +
+    add("sync: replica " + std::to_string(sync.from) + " -> replica " + std::to_string(sync.to) + ": " +
             failover::Text(sync.messages.front()),
         [i](FailoverModel& t) { t.DeliverSync(i); });
   }
   if (budget_.reads > 0)
-    may("read", [](FailoverModel& t) {
+    add("read", [](FailoverModel& t) {
       --t.budget_.reads;
       t.seen_.fill(0);
       Outs out;
@@ -99,7 +99,7 @@
         t.Post(true, t.routers_.size(), one.replica, std::move(one.message));
     });
   if (budget_.time_steps > 0)
-    may("time passes", [](FailoverModel& t) {
+    add("time passes", [](FailoverModel& t) {
       --t.budget_.time_steps;
       t.now_ += kTimeStep;
     });
