--- a/src/module/settings.cpp
+++ b/src/module/settings.cpp
@@ -165,7 +165,7 @@
   require(!s.classes.empty(), "classes");
   for (const ClassSettings& cls : s.classes) {
     require(cls.deadline > kNone && cls.aim >= kNone && cls.dedup_window >= kNone && cls.worth >= 0,
-            "classes: deadline, aim, dedup_window or worth");
+            "classes: deadline, aim, window or worth");
   }
   for (const TenantSettings& tenant : s.tenants) {
     require(tenant.allowance_per_s >= 0, "tenants: allowance_per_s");
@@ -175,11 +175,11 @@
   require(s.extra_per_request.value_or(0) >= 0, "extra_per_request");
   require(s.attempt_window.has_value() == (s.free_resends || s.extra_per_request),
           "attempt_window without free_resends or extra_per_request, or the reverse");
-  require(s.routers >= 1 && s.try_limit >= 1, "routers or try_limit");
+  require(s.routers >= 1 && s.try_limit >= 1, "proxies or try_limit");
   require(s.start_capacity > 0 && s.start_capacity <= 1, "start_capacity");
   require(
       std::min({s.warm_after, s.overload_duration, s.subscribe_interval, s.answer_grace, s.tick}) >= kNone,
-      "warm_after, overload_duration, subscribe_interval, answer_grace or tick");
+      "warm_after, tip_after, ask_every, answer_grace or tick");
 }
 
 }  // namespace peatbend
