--- a/src/peers/joining.cpp
+++ b/src/peers/joining.cpp
@@ -1,4 +1,4 @@
-// How a process becomes a member, what brings separated parts together, and who may use a name.
+// Joining the fleet, merging partitions, and resolving conflicts over the own name.
 #include <algorithm>
 #include <utility>
 
@@ -6,28 +6,29 @@
 
 namespace peatbend::peers {
 
-// ---- Joining, and what brings separated parts together ----
+// ---- Joining and merging partitions ----
 
-void Membership::Begin(Time now) {
+void Membership::BecomeMember(TimePoint now) {
   phase_ = Phase::kMember;
   probe_at_ = now;
-  TellSelf();
+  QueueSelfGossip();
 }
 
-Message Membership::Table(Kind kind) {
-  Message table = Make(kind);
+Message Membership::MakeTable(MessageKind kind) {
+  Message table = MakeMessage(kind);
   for (const auto& [name, member] : members_) table.records.push_back(member.record);
   if (table.member) table.records.push_back(self_);
   return table;
 }
 
-// Also as a member: two parts that never met, or lost each other for long, find each other by their seeds.
-void Membership::StepJoin(Time now, std::vector<Outgoing>& out) {
+// Members also contact the seeds, so that partitions that never met or were separated for long merge again.
+void Membership::StepJoin(TimePoint now, std::vector<Outgoing>& out) {
   if ((phase_ != Phase::kJoining && phase_ != Phase::kMember) || now < join_at_ || seeds_.empty()) return;
   bool joining = phase_ == Phase::kJoining;
-  Span wait = joining ? options_.join : 4 * options_.join;
+  Duration wait = joining ? options_.join_interval : 4 * options_.join_interval;
   join_at_ =
-      now + wait + Span(static_cast<Span::rep>(Below(static_cast<std::uint64_t>(wait.count()) / 4 + 1)));
+      now + wait +
+      Duration(static_cast<Duration::rep>(RandomBelow(static_cast<std::uint64_t>(wait.count()) / 4 + 1)));
   std::set<std::string> known;
   if (!joining) {
     for (const auto& [name, member] : members_) {
@@ -37,115 +38,119 @@
   for (std::size_t tries = 0; tries < seeds_.size(); ++tries) {
     const std::string& seed = seeds_[next_seed_++ % seeds_.size()];
     if (known.contains(seed)) continue;
-    ++figures_.joins;
+    ++metrics_.joins;
     last_seed_ = seed;
-    out.push_back({seed, joining ? Make(Kind::kJoin) : Table(Kind::kTable), true});
+    out.push_back({seed, joining ? MakeMessage(MessageKind::kJoin) : MakeTable(MessageKind::kTable), true});
     return;
   }
 }
 
-// One of those held for dead is asked now and then: after a split they live, and learn from this that they
-// are held for dead.
-void Membership::StepVisits(Time now, std::vector<Outgoing>& out) {
-  if (now < visit_at_) return;
-  visit_at_ = now + options_.visit;
+// Pings a random dead member. After a partition has healed it may be alive; the ping tells it that it was
+// declared dead, so that it starts a new generation.
+void Membership::StepDeadProbes(TimePoint now, std::vector<Outgoing>& out) {
+  if (now < dead_probe_at_) return;
+  dead_probe_at_ = now + options_.dead_probe_interval;
   std::vector<const Member*> dead;
   for (const auto& [name, member] : members_) {
     if (member.record.state == State::kDead) dead.push_back(&member);
   }
   if (dead.empty()) return;
-  const Member& one = *dead[Below(dead.size())];
-  Message ping = Make(Kind::kPing);
+  const Member& one = *dead[RandomBelow(dead.size())];
+  Message ping = MakeMessage(MessageKind::kPing);
   ping.probe = ++last_probe_;
-  ping.you = You::kGone;
+  ping.receiver_status = ReceiverStatus::kGone;
   ping.records.push_back(one.record);
-  Post(out, one.record.address, std::move(ping));
+  QueueDatagram(out, one.record.address, std::move(ping));
 }
 
 // ---- The own name ----
 
-void Membership::Reborn(std::uint64_t above) {
-  self_.life = std::max(self_.life, above) + 1;
-  self_.claim = 0;
-  number_ = 0;
-  confirmed_ = Time{-1};
-  ++figures_.rebirths;
+void Membership::StartNewGeneration(std::uint64_t above) {
+  self_.generation = std::max(self_.generation, above) + 1;
+  self_.incarnation = 0;
+  sequence_ = 0;
+  confirmed_at_ = TimePoint{-1};
+  ++metrics_.rebirths;
 }
 
-void Membership::MergeSelf(Time now, const Record& record) {
+void Membership::MergeSelf(TimePoint now, const Record& record) {
   if (phase_ == Phase::kLeft || phase_ == Phase::kRefused) return;
-  bool mine = record.birth == self_.birth;
+  bool mine = record.first_generation == self_.first_generation;
   if (!mine && record.present() && record.address != self_.address &&
-      (record.life > self_.life || phase_ == Phase::kJoining)) {
-    return Contest(now, record);
+      (record.generation > self_.generation || phase_ == Phase::kJoining)) {
+    return StartNameConflict(now, record);
   }
-  if (record.life > self_.life || (record.life == self_.life && !record.present())) {
-    // A process before this one, or this one, held for dead: it goes on as another.
+  if (record.generation > self_.generation || (record.generation == self_.generation && !record.present())) {
+    // The record is of a former process, or this process was declared dead: start a new generation.
     if (phase_ == Phase::kMember && mine)
-      Line("was held for dead by " + record.by + "; goes on under a new life");
-    Reborn(record.life);
-    return TellSelf();
+      LogLine("was declared dead by " + record.suspected_by + "; starting a new generation");
+    StartNewGeneration(record.generation);
+    return QueueSelfGossip();
   }
-  if (record.life < self_.life || phase_ != Phase::kMember) return;
-  if (record.state == State::kSuspect && record.claim >= self_.claim) {
-    self_.claim = record.claim + 1;
-    ++figures_.refuted;
-    Health(1);
-    TellSelf();
-  } else if (record.claim > self_.claim) {
-    self_.claim = record.claim + 1;
-    TellSelf();
+  if (record.generation < self_.generation || phase_ != Phase::kMember) return;
+  if (record.state == State::kSuspect && record.incarnation >= self_.incarnation) {
+    self_.incarnation = record.incarnation + 1;
+    ++metrics_.refuted;
+    AdjustHealth(1);
+    QueueSelfGossip();
+  } else if (record.incarnation > self_.incarnation) {
+    self_.incarnation = record.incarnation + 1;
+    QueueSelfGossip();
   }
 }
 
-void Membership::Contest(Time now, const Record& record) {
-  if (rival_ && rival_->record.life >= record.life) return;
-  if (!rival_) Line("the name is used at " + record.address + " too; asking there");
-  confirmed_ = Time{-1};
-  bool member = rival_ ? rival_->member : phase_ == Phase::kMember;
-  rival_ = Rival{record, member, now + options_.contest, now};
-  phase_ = Phase::kContest;
-  Changed();
+void Membership::StartNameConflict(TimePoint now, const Record& record) {
+  if (conflict_ && conflict_->record.generation >= record.generation) return;
+  if (!conflict_) LogLine("name is also used at " + record.address + "; probing that address");
+  confirmed_at_ = TimePoint{-1};
+  bool member = conflict_ ? conflict_->was_member : phase_ == Phase::kMember;
+  conflict_ = NameConflict{record, member, now + options_.conflict_timeout, now};
+  phase_ = Phase::kNameConflict;
+  UpdateDigest();
   probes_.clear();
   relays_.clear();
 }
 
-void Membership::StepRival(Time now, std::vector<Outgoing>& out) {
-  if (!rival_) return;
-  if (now >= rival_->until) {  // nobody answers there: that process has ended, or cannot be reached
-    Reborn(rival_->record.life);
-    rival_.reset();
-    Line("no answer there; goes on under the name");
-    return Begin(now);
+void Membership::StepNameConflict(TimePoint now, std::vector<Outgoing>& out) {
+  if (!conflict_) return;
+  if (now >= conflict_->deadline) {  // the other process has ended or is unreachable
+    StartNewGeneration(conflict_->record.generation);
+    conflict_.reset();
+    LogLine("no answer from the other process; keeping the name");
+    return BecomeMember(now);
   }
-  if (now < rival_->again) return;
-  rival_->again = now + options_.timeout;
-  Message ping = Make(Kind::kPing);
+  if (now < conflict_->next_ping) return;
+  conflict_->next_ping = now + options_.probe_timeout;
+  Message ping = MakeMessage(MessageKind::kPing);
   ping.probe = ++last_probe_;
-  Post(out, rival_->record.address, std::move(ping));
+  QueueDatagram(out, conflict_->record.address, std::move(ping));
 }
 
-void Membership::Refuse(Time now) {
-  Line("refused: the name " + self_.name + " is in use by a live process at " + rival_->record.address +
-       "; tries again in " + std::to_string(options_.refused / 1s) + " s");
-  rival_.reset();
+void Membership::RefuseName(TimePoint now) {
+  LogLine("refused: the name " + self_.name + " is in use by a live process at " + conflict_->record.address +
+          "; retrying in " + std::to_string(options_.refused_retry_delay / 1s) + " s");
+  conflict_.reset();
   phase_ = Phase::kRefused;
-  refused_until_ = now + options_.refused;
+  refused_until_ = now + options_.refused_retry_delay;
 }
 
-// Its own message that has come back by another address, or the word of another process under its name.
-void Membership::FromOwnName(Time now, const Message& message) {
-  if (message.birth == self_.birth) {
-    if (last_seed_.empty() || message.kind == Kind::kPing) return;
+// Handles a message with this process's name as its sender: either its own, sent to a seed that turned out to
+// be this process, or one of another process that uses the name.
+void Membership::OnMessageFromOwnName(TimePoint now, const Message& message) {
+  if (message.first_generation == self_.first_generation) {
+    if (last_seed_.empty() || message.kind == MessageKind::kPing) return;
     std::erase(seeds_, std::exchange(last_seed_, {}));
-    if (seeds_.empty() && phase_ == Phase::kJoining) Begin(now);
+    if (seeds_.empty() && phase_ == Phase::kJoining) BecomeMember(now);
     return;
   }
-  if (!rival_ || message.kind != Kind::kAck || message.reply != rival_->record.address) return;
-  if (!rival_->member || rival_->record.birth < self_.birth) return Refuse(now);
-  Reborn(rival_->record.life);  // the other is the younger: it will find this one, and go
-  rival_.reset();
-  Begin(now);
+  if (!conflict_ || message.kind != MessageKind::kAck || message.reply_to != conflict_->record.address)
+    return;
+  if (!conflict_->was_member || conflict_->record.first_generation < self_.first_generation)
+    return RefuseName(now);
+  // The other process is younger and withdraws once it learns of this one.
+  StartNewGeneration(conflict_->record.generation);
+  conflict_.reset();
+  BecomeMember(now);
 }
 
 }  // namespace peatbend::peers
--- a/src/peers/message.h
+++ b/src/peers/message.h
@@ -1,6 +1,6 @@
-// What routers of a fleet say to each other, and its form on the wire: MessagePack, one array a message.
-// Fields are only ever added at the end, and a reader passes over those it does not know, so that
-// neighbouring versions live in one fleet; `least` says which version a reader must have at the least.
+// The messages between routers of a fleet and their wire format: one MessagePack array for each message.
+// New fields are only appended, and a reader skips fields that it does not know, so that neighbouring
+// versions can run in one fleet. The second field is the lowest version that can read the message.
 #pragma once
 
 #include <cstdint>
@@ -12,48 +12,56 @@
 
 namespace peatbend::peers {
 
-enum class Kind : std::uint8_t { kPing, kAck, kAskPing, kNoAnswer, kGossip, kJoin, kTable, kCargo };
+enum class MessageKind : std::uint8_t {
+  kPing,
+  kAck,
+  kPingRequest,
+  kNack,
+  kGossip,
+  kJoin,
+  kTable,
+  kApplication
+};
 
-constexpr const char* kKindNames[] = {"ping",   "ack",  "ask-ping", "no-answer",
-                                      "gossip", "join", "table",    "cargo"};
+constexpr const char* kMessageKindNames[] = {"ping",   "ack",  "ask-ping", "no-answer",
+                                             "gossip", "join", "table",    "cargo"};
 
-// What the sender holds the receiver for.
-enum class You : std::uint8_t { kUnknown, kPresent, kGone };
+// The receiver's status as the sender sees it.
+enum class ReceiverStatus : std::uint8_t { kUnknown, kPresent, kGone };
 
 struct Message {
-  Kind kind = Kind::kPing;
+  MessageKind kind = MessageKind::kPing;
   std::string fleet;
-  std::string from, reply;  // the sender's name, and where it is answered
-  std::uint64_t life = 0, birth = 0;
-  std::uint64_t number = 0;  // counts the sender's messages in this life
-  std::uint64_t probe = 0;   // ping, ask-ping and their answers: which one
-  std::uint64_t digest = 0;  // of all that the sender holds for present
-  bool member = false;       // the sender is one; else it is about to join
-  You you = You::kUnknown;
-  std::string target, target_address;  // ask-ping: who is to be asked; its answer: who has answered
-  std::uint64_t target_life = 0;
+  std::string from, reply_to;  // the sender's name, and the address for answers
+  std::uint64_t generation = 0, first_generation = 0;
+  std::uint64_t sequence = 0;  // increases with each message of the sender's generation
+  std::uint64_t probe = 0;     // ping, ping request and their answers: the probe's number
+  std::uint64_t digest = 0;    // hash of the members that the sender sees as present
+  bool member = false;         // false: the sender has not joined yet
+  ReceiverStatus receiver_status = ReceiverStatus::kUnknown;
+  std::string target, target_address;  // ping request: the member to ping; in its ack: who answered
+  std::uint64_t target_generation = 0;
   std::vector<Record> records;
-  std::string cargo;  // what other parts of the program say to their like
+  std::string payload;  // application messages only
   bool operator==(const Message&) const = default;
 };
 
 constexpr int kVersion = 1;
-// Bytes. A datagram stays below what a path may cut up.
-constexpr std::size_t kMostDatagram = 1400, kMostStream = 4u << 20;
-// Of the messages that a service sends together: they fit a datagram with what stands around them.
-constexpr std::size_t kMostBatch = 1000;
-constexpr std::size_t kMostRecords = 4096, kMostCargo = 1u << 20;
+constexpr std::size_t kMaxDatagramBytes = 1400;  // avoids IP fragmentation on usual paths
+constexpr std::size_t kMaxStreamBytes = 4u << 20;
+// For a batch of application messages that must fit a datagram, together with the message around it.
+constexpr std::size_t kMaxBatchBytes = 1000;
+constexpr std::size_t kMaxRecords = 4096, kMaxPayloadBytes = 1u << 20;
 
 std::string Encode(const Message& message);
-// About as many bytes as Encode makes of it; never fewer.
-std::size_t SizeOf(const Record& record);
+// Upper bound for the encoded size of `record`, in bytes.
+std::size_t MaxEncodedSize(const Record& record);
 
-enum class Fault { kNone, kOversized, kMalformed, kVersion, kFleet };
-constexpr const char* kFaultNames[] = {"none", "oversized", "malformed", "of a version too new",
-                                       "of another fleet"};
+enum class DecodeError { kNone, kOversized, kMalformed, kVersion, kFleet };
+constexpr const char* kDecodeErrorNames[] = {"none", "oversized", "malformed", "unsupported version",
+                                             "different fleet"};
 
-// Reads what a stranger may have written, of at most `most` bytes. Never throws; `message` is whole where
-// there is no fault.
-Fault Decode(std::string_view bytes, std::size_t most, std::string_view fleet, Message& message);
+// Decodes untrusted bytes, `max_bytes` at most. Never throws; `message` is complete if the result is kNone.
+DecodeError Decode(std::string_view bytes, std::size_t max_bytes, std::string_view fleet, Message& message);
 
 }  // namespace peatbend::peers
--- a/src/peers/peer_sockets.cpp
+++ b/src/peers/peer_sockets.cpp
@@ -16,11 +16,11 @@
 namespace peatbend::peers {
 namespace {
 
-constexpr std::chrono::seconds kStreamWithin{2};  // between two steps of a stream; then it is closed
-constexpr int kDatagramsATurn = 64;               // of the loop, so that peers never hold up clients
-constexpr std::size_t kPrefix = 4;                // bytes: the length of what follows, the highest first
+constexpr std::chrono::seconds kStreamTimeout{2};  // without progress; then the stream is closed
+constexpr int kMaxDatagramsPerCallback = 64;       // so that peers do not delay clients
+constexpr std::size_t kLengthPrefixBytes = 4;      // the length of the message, big endian
 
-std::string TextOf(const sockaddr_storage& at) {
+std::string FormatAddress(const sockaddr_storage& at) {
   char host[INET6_ADDRSTRLEN] = "?";
   bool four = at.ss_family == AF_INET;
   const auto& v4 = reinterpret_cast<const sockaddr_in&>(at);
@@ -36,19 +36,19 @@
 
 }  // namespace
 
-PeerSockets::PeerSockets(event_base* base, const std::string& address, std::string fleet, Calls calls)
-    : base_(base), address_(address), fleet_(std::move(fleet)), calls_(std::move(calls)) {
-  // The datagram socket keeps a second process out: streams may still be in their last states from a former
-  // one.
+PeerSockets::PeerSockets(event_base* base, const std::string& address, std::string fleet, Callbacks callbacks)
+    : base_(base), address_(address), fleet_(std::move(fleet)), callbacks_(std::move(callbacks)) {
+  // Binding the datagram socket detects a second process. A stream socket would not do: connections of a
+  // former process may still be closing (TIME_WAIT) on the address.
   datagrams_ = net::BindSocket(address, SOCK_DGRAM, false);
   if (datagrams_ >= 0) {
     address_ = WithPort(address, net::BoundPort(datagrams_));
     listener_ = net::ListenOn(address_, 64, false);
   }
   if (listener_ < 0) {
-    std::string why = std::strerror(errno);
+    std::string reason = std::strerror(errno);
     if (datagrams_ >= 0) close(datagrams_);
-    throw std::runtime_error("peers: cannot listen on " + address + ": " + why);
+    throw std::runtime_error("peers: cannot listen on " + address + ": " + reason);
   }
   auto read = [](evutil_socket_t, short, void* self) { static_cast<PeerSockets*>(self)->ReadDatagrams(); };
   auto accept = [](evutil_socket_t, short, void* self) { static_cast<PeerSockets*>(self)->Accept(); };
@@ -68,8 +68,8 @@
 int PeerSockets::port() const { return net::BoundPort(datagrams_); }
 
 void PeerSockets::ReadDatagrams() {
-  std::array<char, kMostDatagram + 1> bytes;
-  for (int i = 0; i < kDatagramsATurn; ++i) {
+  std::array<char, kMaxDatagramBytes + 1> bytes;
+  for (int i = 0; i < kMaxDatagramsPerCallback; ++i) {
     sockaddr_storage from{};
     socklen_t size = sizeof from;
     ssize_t got =
@@ -77,32 +77,33 @@
     if (got < 0) return;
     ++received_;
     Message message;
-    Fault fault = Decode({bytes.data(), static_cast<std::size_t>(got)}, kMostDatagram, fleet_, message);
-    if (fault == Fault::kNone) {
-      calls_.message(message, Via::kDatagram);
+    DecodeError error =
+        Decode({bytes.data(), static_cast<std::size_t>(got)}, kMaxDatagramBytes, fleet_, message);
+    if (error == DecodeError::kNone) {
+      callbacks_.on_message(message, Transport::kDatagram);
     } else {
-      calls_.dropped(fault, TextOf(from));
+      callbacks_.on_dropped(error, FormatAddress(from));
     }
   }
 }
 
-const PeerSockets::Address* PeerSockets::AddressOf(const std::string& text) {
+const PeerSockets::Address* PeerSockets::ParsedAddress(const std::string& text) {
   auto known = addresses_.find(text);
   if (known != addresses_.end()) return &known->second;
   Address address;
   int size = 0;
   try {
     net::ParseAddress(text, address.at, size);
-  } catch (const std::invalid_argument&) {  // a peer's word on its address
+  } catch (const std::invalid_argument&) {  // sent by a peer, so not validated before
     return nullptr;
   }
   address.size = static_cast<socklen_t>(size);
-  if (addresses_.size() >= kMostRecords) addresses_.clear();
+  if (addresses_.size() >= kMaxRecords) addresses_.clear();
   return &addresses_.emplace(text, address).first->second;
 }
 
 void PeerSockets::Send(const Outgoing& one) {
-  const Address* address = AddressOf(one.to);
+  const Address* address = ParsedAddress(one.to);
   if (address == nullptr) {
     ++not_sent_;
     return;
@@ -110,31 +111,31 @@
   const auto* to = reinterpret_cast<const sockaddr*>(&address->at);
   if (!one.stream) {
     std::string bytes = Encode(one.message);
-    bool fine = bytes.size() <= kMostDatagram &&
-                sendto(datagrams_, bytes.data(), bytes.size(), 0, to, address->size) >= 0;
-    fine ? ++sent_ : ++not_sent_;
-    bytes_sent_ += fine ? bytes.size() : 0;
+    bool ok = bytes.size() <= kMaxDatagramBytes &&
+              sendto(datagrams_, bytes.data(), bytes.size(), 0, to, address->size) >= 0;
+    ok ? ++sent_ : ++not_sent_;
+    bytes_sent_ += ok ? bytes.size() : 0;
     return;
   }
-  if (out_.size() >= kStreamsOut) {
+  if (outgoing_.size() >= kMaxOutgoingStreams) {
     ++not_sent_;
     return;
   }
-  int made = socket(to->sa_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (made < 0) {
+  int fd = socket(to->sa_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+  if (fd < 0) {
     ++not_sent_;
     return;
   }
-  // From the own address, so that what lies between two routers can tell them.
+  // Binds the own address, so that network filters between routers can identify the sender.
   sockaddr_storage own{};
   int own_size = 0;
   net::ParseAddress(WithPort(address_, 0), own, own_size);
   if (own.ss_family == to->sa_family)
-    bind(made, reinterpret_cast<sockaddr*>(&own), static_cast<socklen_t>(own_size));
-  Stream& stream = out_.emplace_back();
-  stream.self = std::prev(out_.end());
-  stream.via = Via::kAnswer;
-  stream.socket.reset(bufferevent_socket_new(base_, made, BEV_OPT_CLOSE_ON_FREE));
+    bind(fd, reinterpret_cast<sockaddr*>(&own), static_cast<socklen_t>(own_size));
+  Stream& stream = outgoing_.emplace_back();
+  stream.self = std::prev(outgoing_.end());
+  stream.transport = Transport::kStreamReply;
+  stream.socket.reset(bufferevent_socket_new(base_, fd, BEV_OPT_CLOSE_ON_FREE));
   Open(stream);
   Write(stream, one.message);
   if (bufferevent_socket_connect(stream.socket.get(), to, static_cast<int>(address->size)) != 0)
@@ -144,46 +145,49 @@
 void PeerSockets::Accept() {
   sockaddr_storage from{};
   socklen_t size = sizeof from;
-  int made = accept4(listener_, reinterpret_cast<sockaddr*>(&from), &size, SOCK_NONBLOCK | SOCK_CLOEXEC);
-  if (made < 0) return;
-  if (in_.size() >= kStreamsIn) Close(in_.front());  // the oldest: none takes long
-  Stream& stream = in_.emplace_back();
-  stream.self = std::prev(in_.end());
-  stream.socket.reset(bufferevent_socket_new(base_, made, BEV_OPT_CLOSE_ON_FREE));
+  int fd = accept4(listener_, reinterpret_cast<sockaddr*>(&from), &size, SOCK_NONBLOCK | SOCK_CLOEXEC);
+  if (fd < 0) return;
+  if (incoming_.size() >= kMaxIncomingStreams)
+    Close(incoming_.front());  // the oldest; streams are short-lived
+  Stream& stream = incoming_.emplace_back();
+  stream.self = std::prev(incoming_.end());
+  stream.socket.reset(bufferevent_socket_new(base_, fd, BEV_OPT_CLOSE_ON_FREE));
   Open(stream);
 }
 
 void PeerSockets::Open(Stream& stream) {
-  stream.home = this;
+  stream.owner = this;
   bufferevent* socket = stream.socket.get();
-  timeval within = net::ToTimeval(kStreamWithin);
+  timeval within = net::ToTimeval(kStreamTimeout);
   bufferevent_set_timeouts(socket, &within, &within);
   bufferevent_setcb(
       socket,
       [](bufferevent*, void* self) {
         auto* one = static_cast<Stream*>(self);
-        one->home->Read(*one);
+        one->owner->Read(*one);
       },
       [](bufferevent*, void* self) {
         auto* one = static_cast<Stream*>(self);
-        if (one->answered) one->home->Close(*one);
+        if (one->answered) one->owner->Close(*one);
       },
       [](bufferevent*, short what, void* self) {
         auto* one = static_cast<Stream*>(self);
-        if ((what & BEV_EVENT_CONNECTED) == 0) one->home->Close(*one);
+        if ((what & BEV_EVENT_CONNECTED) == 0) one->owner->Close(*one);
       },
       &stream);
   bufferevent_enable(socket, EV_READ | EV_WRITE);
 }
 
-void PeerSockets::Close(Stream& stream) { (stream.via == Via::kStream ? in_ : out_).erase(stream.self); }
+void PeerSockets::Close(Stream& stream) {
+  (stream.transport == Transport::kStreamRequest ? incoming_ : outgoing_).erase(stream.self);
+}
 
 void PeerSockets::Write(Stream& stream, const Message& message) {
   std::string bytes = Encode(message);
   std::uint32_t length = htonl(static_cast<std::uint32_t>(bytes.size()));
-  bufferevent_write(stream.socket.get(), &length, kPrefix);
+  bufferevent_write(stream.socket.get(), &length, kLengthPrefixBytes);
   bufferevent_write(stream.socket.get(), bytes.data(), bytes.size());
-  bytes_sent_ += kPrefix + bytes.size();
+  bytes_sent_ += kLengthPrefixBytes + bytes.size();
   ++sent_;
 }
 
@@ -194,30 +198,30 @@
     return;
   }
   std::uint32_t length = 0;
-  if (evbuffer_copyout(in, &length, kPrefix) < static_cast<ev_ssize_t>(kPrefix)) return;
+  if (evbuffer_copyout(in, &length, kLengthPrefixBytes) < static_cast<ev_ssize_t>(kLengthPrefixBytes)) return;
   length = ntohl(length);
   sockaddr_storage from{};
   socklen_t size = sizeof from;
-  if (length > kMostStream) {
+  if (length > kMaxStreamBytes) {
     getpeername(bufferevent_getfd(stream.socket.get()), reinterpret_cast<sockaddr*>(&from), &size);
-    calls_.dropped(Fault::kOversized, TextOf(from));
+    callbacks_.on_dropped(DecodeError::kOversized, FormatAddress(from));
     return Close(stream);
   }
-  if (evbuffer_get_length(in) < kPrefix + length) return;
-  evbuffer_drain(in, kPrefix);
+  if (evbuffer_get_length(in) < kLengthPrefixBytes + length) return;
+  evbuffer_drain(in, kLengthPrefixBytes);
   Message message;
-  Fault fault = Decode(net::Contents(in).substr(0, length), kMostStream, fleet_, message);
-  if (fault != Fault::kNone) {
+  DecodeError error = Decode(net::Contents(in).substr(0, length), kMaxStreamBytes, fleet_, message);
+  if (error != DecodeError::kNone) {
     getpeername(bufferevent_getfd(stream.socket.get()), reinterpret_cast<sockaddr*>(&from), &size);
-    calls_.dropped(fault, TextOf(from));
+    callbacks_.on_dropped(error, FormatAddress(from));
     return Close(stream);
   }
   ++received_;
   evbuffer_drain(in, length);
-  Via via = stream.via;
-  // An answer may lead to further streams, never to the end of this one: that is done here.
-  auto answer = calls_.message(message, via);
-  if (via == Via::kAnswer || !answer) return Close(stream);
+  Transport transport = stream.transport;
+  // The callback may open further streams, but this stream is closed only here.
+  auto answer = callbacks_.on_message(message, transport);
+  if (transport == Transport::kStreamReply || !answer) return Close(stream);
   stream.answered = true;
   Write(stream, *answer);
 }
--- a/src/peers/peer_sockets.h
+++ b/src/peers/peer_sockets.h
@@ -1,5 +1,5 @@
-// The sockets of a router's talk with its peers: datagrams, and streams for tables. Bounded in descriptors,
-// bytes and time; decides nothing. Belongs to the loop's thread.
+// The sockets between a router and its peers: datagrams, and streams for member tables. Limits descriptors,
+// bytes and time. Used on the event loop's thread only.
 #pragma once
 
 #include <sys/socket.h>
@@ -17,20 +17,21 @@
 
 namespace peatbend::peers {
 
-// What may be open at once beside the two listening sockets.
-constexpr std::size_t kStreamsIn = 8, kStreamsOut = 4;
-constexpr std::size_t kDescriptors = kStreamsIn + kStreamsOut + 3;
+// Open at the same time, in addition to the two listening sockets.
+constexpr std::size_t kMaxIncomingStreams = 8, kMaxOutgoingStreams = 4;
+constexpr std::size_t kMaxDescriptors = kMaxIncomingStreams + kMaxOutgoingStreams + 3;
 
 class PeerSockets {
  public:
-  struct Calls {
-    // A message that is whole; the answer for its stream, if there is one.
-    std::function<std::optional<Message>(const Message&, Via)> message;
-    // Bytes from `from` that are none.
-    std::function<void(Fault, const std::string& from)> dropped;
+  struct Callbacks {
+    // Handles a decoded message; returns the answer to send on its stream, if any.
+    std::function<std::optional<Message>(const Message&, Transport)> on_message;
+    // Reports a message from address `from` that could not be decoded.
+    std::function<void(DecodeError, const std::string& from)> on_dropped;
   };
-  // Listens on `address`, for both; throws std::runtime_error, naming it.
-  PeerSockets(event_base* base, const std::string& address, std::string fleet, Calls calls);
+  // Listens on `address` for datagrams and streams. Throws std::runtime_error that names the address if it
+  // cannot be bound.
+  PeerSockets(event_base* base, const std::string& address, std::string fleet, Callbacks callbacks);
   ~PeerSockets();
   PeerSockets(const PeerSockets&) = delete;
   PeerSockets& operator=(const PeerSockets&) = delete;
@@ -40,13 +41,14 @@
   std::uint64_t sent() const { return sent_; }
   std::uint64_t received() const { return received_; }
   std::uint64_t bytes_sent() const { return bytes_sent_; }
-  std::uint64_t not_sent() const { return not_sent_; }  // no room in the system or among the streams
+  // Messages dropped because of an invalid address, a socket error or the limit of streams.
+  std::uint64_t not_sent() const { return not_sent_; }
 
  private:
   struct Stream {
-    PeerSockets* home = nullptr;
+    PeerSockets* owner = nullptr;
     std::list<Stream>::iterator self;
-    Via via = Via::kStream;
+    Transport transport = Transport::kStreamRequest;
     bool answered = false;
     net::BuffereventPtr socket;
   };
@@ -54,8 +56,8 @@
     sockaddr_storage at{};
     socklen_t size = 0;
   };
-  // Null: it is none. Good until the next call.
-  const Address* AddressOf(const std::string& text);
+  // Null if `text` is not an address. Valid until the next call.
+  const Address* ParsedAddress(const std::string& text);
   void ReadDatagrams();
   void Accept();
   void Open(Stream& stream);
@@ -65,11 +67,11 @@
 
   event_base* base_;
   std::string address_, fleet_;
-  Calls calls_;
+  Callbacks callbacks_;
   int datagrams_ = -1, listener_ = -1;
   net::EventPtr readable_, acceptable_;
-  std::list<Stream> in_, out_;
-  std::unordered_map<std::string, Address> addresses_;  // that were read already
+  std::list<Stream> incoming_, outgoing_;
+  std::unordered_map<std::string, Address> addresses_;  // cache of ParsedAddress
   std::uint64_t sent_ = 0, received_ = 0, bytes_sent_ = 0, not_sent_ = 0;
 };
 
--- a/src/peers/peers.h
+++ b/src/peers/peers.h
@@ -1,4 +1,5 @@
-// A router's part in its fleet: the membership, driven by the loop. Switched off it is not made at all.
+// A router's membership in its fleet, run by the event loop. Not constructed if the configuration has no
+// [peers] address.
 #pragma once
 
 #include <array>
@@ -20,44 +21,48 @@
 class Peers {
  public:
   struct Self {
-    std::string name, zone, version, serves;
+    std::string name, zone, version, client_address;
   };
-  // Where the address cannot be had, it says so and tries again; serving does not depend on it.
+  // If the address cannot be bound, logs the error and retries; serving clients does not depend on it.
   Peers(event_base* base, const Config::Peers& config, const net::Tuning::Peers& times, Self self,
         std::uint64_t random, net::Log& log);
 
-  // What other parts of the program say to their like at another router; from whom, and the bytes. Each part
-  // has a lane of its own: what the first byte of its cargo may be tells them apart.
-  enum class Lane : std::uint8_t { kWork, kRations, kOverload, kPublications };
-  static constexpr std::size_t kLanes = 4;
-  using Cargo = std::function<void(const std::string& from, const std::string& bytes)>;
-  void OnCargo(Lane lane, Cargo cargo) { cargo_[static_cast<std::size_t>(lane)] = std::move(cargo); }
-  // May be lost, doubled or late. False: that router's address is not known, or there is none of one's own.
-  bool Carry(const std::string& to, std::string bytes);
-  // Whether that router is there, as far as is known; also true of this one.
-  bool Present(const std::string& name) const;
-  // The other routers that are there, as far as is known.
-  std::vector<std::string> Others() const;
-  // Whether all that are known of that zone are gone. False for a zone of which none is known.
-  bool ZoneGone(const std::string& zone) const;
-  // Whether that life of that name is held for over. False where nothing is known.
-  bool Gone(const std::string& name, std::uint64_t life) const;
-  // Of this process, higher than any that the fleet knows of its name; 0 before it is a member.
-  std::uint64_t life() const;
-  static Time Now();
+  // Application messages between the same service of two routers. Each service has a channel; the first byte
+  // of the payload identifies it.
+  enum class Channel : std::uint8_t { kWork, kRations, kOverload, kPublications };
+  static constexpr std::size_t kChannels = 4;
+  using MessageHandler = std::function<void(const std::string& from, const std::string& bytes)>;
+  void OnApplicationMessage(Channel channel, MessageHandler handler) {
+    handlers_[static_cast<std::size_t>(channel)] = std::move(handler);
+  }
+  // Sends an application message, which may be lost, duplicated or delayed. Returns false if the router is
+  // unknown, the payload is too large or this process has no address yet.
+  bool Send(const std::string& to, std::string bytes);
+  // Whether the router is present in this process's view; true for this process itself.
+  bool IsPresent(const std::string& name) const;
+  // The other routers that are present in this process's view.
+  std::vector<std::string> PresentRouters() const;
+  // Whether all known routers of the zone are gone; false if none is known.
+  bool IsZoneGone(const std::string& zone) const;
+  // Whether that generation of the router has ended; false if the router is unknown.
+  bool IsGone(const std::string& name, std::uint64_t generation) const;
+  // Generation of this process, higher than any that the fleet knows for its name; 0 before it is a member.
+  std::uint64_t generation() const;
+  static TimePoint Now();
 
-  void Leave();  // tells the others, and goes on telling until it is destroyed
-  Standing standing() const;
-  void SetNote(std::string note);
-  // The program's figures of its peers, names without a prefix.
+  void Leave();  // announces the departure, and repeats it until this object is destroyed
+  SelfStatus status() const;
+  void SetMetadata(std::string metadata);
+  // Metric names (without a prefix) and values.
   std::vector<std::pair<std::string, std::uint64_t>> Figures() const;
-  // One JSON object: this process and all it knows of others.
-  std::string Describe() const;
+  // This process and all known members as one JSON object.
+  std::string ToJson() const;
 
  private:
   void Open();
-  void Run(const std::function<void(Time, std::vector<Outgoing>&)>& what);
-  void Heard(const Record* before, const Record& now);
+  // Calls `action`, sends the messages that it adds and schedules the next step.
+  void Run(const std::function<void(TimePoint, std::vector<Outgoing>&)>& action);
+  void OnMemberChanged(const Record* before, const Record& now);
 
   event_base* base_;
   Config::Peers config_;
@@ -67,7 +72,7 @@
   net::Log& log_;
   std::unique_ptr<PeerSockets> sockets_;
   std::optional<Membership> membership_;
-  std::array<Cargo, kLanes> cargo_;
+  std::array<MessageHandler, kChannels> handlers_;
   std::uint64_t dropped_[5] = {};
   net::Timer step_;
 };
--- a/src/peers/record.h
+++ b/src/peers/record.h
@@ -1,4 +1,4 @@
-// What is known of one router of a fleet. Free of I/O and clocks.
+// What a router knows about one member of its fleet. Performs no I/O and reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -13,27 +13,29 @@
 
 struct Record {
   std::string name;
-  // Each start of a process has a life of its own, and so has a process that was taken for dead and is not. A
-  // higher life of a name ends the lower ones; one that has ended never comes back.
-  std::uint64_t life = 0;
-  std::uint64_t birth = 0;  // the first life of the process
-  std::uint32_t claim = 0;  // raised by the process itself: to refute a suspicion, to tell something new
+  // Each process start begins a new generation, and so does a live process that was declared dead. A higher
+  // generation supersedes the lower ones of the name; one that has ended never becomes present again.
+  std::uint64_t generation = 0;
+  std::uint64_t first_generation = 0;  // the generation at the process start
+  std::uint32_t incarnation = 0;  // raised by the member itself to refute a suspicion or to update its data
   State state = State::kAlive;
-  std::string by;                     // suspect: whose word that is
-  std::string address;                // where its peers reach it, ADDRESS:PORT
-  std::string zone, version, serves;  // serves: the clients' address
-  std::string note;                   // some bytes of state that ride along
+  std::string suspected_by;  // suspect, dead: the router that reported it
+  std::string address;       // ADDRESS:PORT where peers reach the member
+  std::string zone, version;
+  std::string client_address;  // where the member serves clients
+  std::string metadata;        // a few bytes of application state
 
   bool present() const { return state == State::kAlive || state == State::kSuspect; }
-  // The order in which knowledge of one name replaces other: dead and left are final within a life.
-  std::tuple<std::uint64_t, int, std::uint32_t, bool> Rank() const {
+  // Of two records of a name the one with the higher precedence wins: dead and left are final within a
+  // generation, and a suspicion beats alive of the same incarnation.
+  std::tuple<std::uint64_t, int, std::uint32_t, bool> Precedence() const {
     int end = state == State::kLeft ? 2 : state == State::kDead ? 1 : 0;
-    return {life, end, end > 0 ? 0 : claim, state == State::kSuspect};
+    return {generation, end, end > 0 ? 0 : incarnation, state == State::kSuspect};
   }
   bool operator==(const Record&) const = default;
 };
 
-// Longer texts are refused by the codec and by the configuration.
-constexpr std::size_t kMostName = 64, kMostNote = 64;
+// The codec and the configuration reject longer values.
+constexpr std::size_t kMaxNameBytes = 64, kMaxMetadataBytes = 64;
 
 }  // namespace peatbend::peers
--- a/src/router/figures.cpp
+++ b/src/router/figures.cpp
@@ -19,7 +19,7 @@
 
 std::string Router::Failover() { return work_ ? work_->Describe() : "fail failover is off"; }
 
-std::string Router::Peers() { return peers_ ? peers_->Describe() : "fail peers are off"; }
+std::string Router::Peers() { return peers_ ? peers_->ToJson() : "fail peers are off"; }
 
 std::string Router::Figures() {
   std::string text;
--- a/src/router/overload_office.cpp
+++ b/src/router/overload_office.cpp
@@ -44,8 +44,9 @@
       returns_(config.name, {.per_second = static_cast<double>(config.tuning.overload.dials_per_second)}),
       tick_(base, [this] { Tick(); }) {
   for (const std::string& seat : config.overload.seats) seats_.push_back(failover::ParseReplica(seat).router);
-  peers_.OnCargo(peers::Peers::Lane::kOverload,
-                 [this](const std::string& from, const std::string& bytes) { Arrived(from, bytes); });
+  peers_.OnApplicationMessage(
+      peers::Peers::Channel::kOverload,
+      [this](const std::string& from, const std::string& bytes) { Arrived(from, bytes); });
   decision_.SetOverloadControl(this);
   started_ = peers::Peers::Now();
   tick_.Set(overload::kWindow);
@@ -53,7 +54,7 @@
 
 OverloadOffice::~OverloadOffice() {
   decision_.SetOverloadControl(nullptr);
-  peers_.OnCargo(peers::Peers::Lane::kOverload, {});
+  peers_.OnApplicationMessage(peers::Peers::Channel::kOverload, {});
 }
 
 // ---- What passes through the stage ------------------------------------------------------------------
@@ -113,7 +114,7 @@
 // ---- Signs ------------------------------------------------------------------------------------------
 
 std::string OverloadOffice::Reader() const {
-  auto at = std::ranges::find_if(seats_, [this](const std::string& seat) { return peers_.Present(seat); });
+  auto at = std::ranges::find_if(seats_, [this](const std::string& seat) { return peers_.IsPresent(seat); });
   return at == seats_.end() ? std::string() : *at;
 }
 
@@ -143,12 +144,12 @@
   if (heard_.empty()) return;
   std::size_t size = 0;
   for (const std::string& sign : heard_) size += sign.size() + overload::kAroundSign;
-  bool datagrams = size <= kMostDatagrams * peers::kMostBatch;
+  bool datagrams = size <= kMostDatagrams * peers::kMaxBatchBytes;
   std::vector<std::vector<std::string>> parts(1);
   std::size_t in_part = 0;
   for (std::string& sign : heard_) {
     std::size_t more = sign.size() + overload::kAroundSign;
-    if (datagrams && in_part + more > peers::kMostBatch && !parts.back().empty()) {
+    if (datagrams && in_part + more > peers::kMaxBatchBytes && !parts.back().empty()) {
       parts.emplace_back();
       in_part = 0;
     }
@@ -156,7 +157,7 @@
     parts.back().push_back(std::move(sign));
   }
   heard_.clear();
-  for (const std::string& router : peers_.Others()) {
+  for (const std::string& router : peers_.PresentRouters()) {
     for (const auto& part : parts) Send(router, part, true);
   }
 }
@@ -165,7 +166,7 @@
   std::string bytes = overload::Encode(overload::Parcel{all, signs});
   ++sent_;
   bytes_ += bytes.size();
-  if (!peers_.Carry(to, std::move(bytes))) ++unreached_;
+  if (!peers_.Send(to, std::move(bytes))) ++unreached_;
 }
 
 void OverloadOffice::Arrived(const std::string& from, const std::string& bytes) {
@@ -270,7 +271,8 @@
 
 // Not dialled by all at one moment, nor given its whole load before discovery may have said that it is cold.
 void OverloadOffice::IsBack(const std::string& member, const std::string& which, overload::Span out) {
-  if (!returns_.Hold(peers::Peers::Now(), member, which, out, peers_.Others())) return BringBack(member);
+  if (!returns_.Hold(peers::Peers::Now(), member, which, out, peers_.PresentRouters()))
+    return BringBack(member);
   ++held_;
 }
 
@@ -286,7 +288,7 @@
 void OverloadOffice::TryMembers() {
   if (out_.empty()) return;
   overload::Time now = peers::Peers::Now();
-  std::vector<std::string> present = peers_.Others();
+  std::vector<std::string> present = peers_.PresentRouters();
   if (present != present_) trials_.SetPresent(present_ = std::move(present));
   for (auto& [name, turn] : out_) {
     if (trials_.Begin(now, name)) {
--- a/src/router/publication_office.cpp
+++ b/src/router/publication_office.cpp
@@ -23,11 +23,12 @@
       folder_(config.publications.folder),
       found_(config.publications.found),
       seats_(failover::ReplicaSet::Parse(config.publications.seats)),
-      bureau_({}, seats_, self_, peers.life(), GenerateNonce(), peers::Peers::Now(),
-              [this] { return peers_ != nullptr ? peers_->Others() : std::vector<std::string>(); }),
+      bureau_({}, seats_, self_, peers.generation(), GenerateNonce(), peers::Peers::Now(),
+              [this] { return peers_ != nullptr ? peers_->PresentRouters() : std::vector<std::string>(); }),
       tick_(base, [this] { Tick(); }) {
-  peers_->OnCargo(peers::Peers::Lane::kPublications,
-                  [this](const std::string& from, const std::string& bytes) { Arrived(from, bytes); });
+  peers_->OnApplicationMessage(
+      peers::Peers::Channel::kPublications,
+      [this](const std::string& from, const std::string& bytes) { Arrived(from, bytes); });
   Open();
   Tick();
 }
@@ -35,7 +36,7 @@
 PublicationOffice::~PublicationOffice() { Hush(); }
 
 void PublicationOffice::Hush() {
-  if (peers_ != nullptr) peers_->OnCargo(peers::Peers::Lane::kPublications, {});
+  if (peers_ != nullptr) peers_->OnApplicationMessage(peers::Peers::Channel::kPublications, {});
   peers_ = nullptr;
   store_.reset();
   tick_.Stop();
@@ -116,7 +117,7 @@
   calls.hold = std::move(hold);
   calls.log = [this](const std::string& text) { log_.Line("rations", text); };
   calls.send = [this](const std::string& to, const compat::Say& say) { Carry(to, say); };
-  calls.others = [this] { return peers_ != nullptr ? peers_->Others() : std::vector<std::string>(); };
+  calls.others = [this] { return peers_ != nullptr ? peers_->PresentRouters() : std::vector<std::string>(); };
   librarian_.emplace(self_, reads_, compat::Librarian::Book{config.rations.text, config.rations.table},
                      GenerateNonce(), *this, std::move(calls));
   tick_.Activate();
@@ -144,7 +145,7 @@
 void PublicationOffice::Tick() {
   if (peers_ == nullptr) return;
   Open();
-  bureau_.SetLife(peers_->life());
+  bureau_.SetLife(peers_->generation());
   bureau_.Tick(peers::Peers::Now());
   Flush();
 }
@@ -153,7 +154,7 @@
   std::string bytes = compat::Encode(seats_.fingerprint(), say);
   ++sent_;
   bytes_ += bytes.size();
-  if (peers_ == nullptr || !peers_->Carry(to, std::move(bytes))) ++unreached_;
+  if (peers_ == nullptr || !peers_->Send(to, std::move(bytes))) ++unreached_;
 }
 
 // Whether what the seat must not forget is kept, where it is to be.
@@ -205,7 +206,7 @@
   failover::TimePoint due = bureau_.Due();
   if (librarian_) due = std::min(due, librarian_->Due());
   failover::Duration in = std::max(due - now, failover::Duration{});
-  if (peers_->life() == 0) in = std::min<failover::Duration>(in, kLifeAgain);
+  if (peers_->generation() == 0) in = std::min<failover::Duration>(in, kLifeAgain);
   if (!opened_) in = std::min<failover::Duration>(in, kFolderRetry);
   tick_.Set(in);
   flushing_ = false;
--- a/src/router/ration_office.cpp
+++ b/src/router/ration_office.cpp
@@ -86,14 +86,15 @@
       print_(PrintOf(config, seats_)),
       office_(OptionsOf(config), seats_, config.name, GenerateNonce(), GenerateNonce(), config.rations.table,
               peers::Peers::Now(),
-              [this](const std::string& router) { return peers_ != nullptr && peers_->Present(router); }),
+              [this](const std::string& router) { return peers_ != nullptr && peers_->IsPresent(router); }),
       tick_(base, [this] { Tick(); }) {
   for (const failover::ReplicaName& seat : seats_.all()) {
     if (!seat.zone.empty() && std::ranges::find(zones_, seat.zone) == zones_.end())
       zones_.push_back(seat.zone);
   }
-  peers_->OnCargo(peers::Peers::Lane::kRations,
-                  [this](const std::string& from, const std::string& bytes) { Arrived(from, bytes); });
+  peers_->OnApplicationMessage(
+      peers::Peers::Channel::kRations,
+      [this](const std::string& from, const std::string& bytes) { Arrived(from, bytes); });
   decision_.SetQuotaCheck(this);
   log_.Line("rations", fmt::format("book {:016x} of {} rations holds", office_.table().print,
                                    office_.table().rations.size()));
@@ -106,7 +107,7 @@
 }
 
 void RationOffice::Hush() {
-  if (peers_ != nullptr) peers_->OnCargo(peers::Peers::Lane::kRations, {});
+  if (peers_ != nullptr) peers_->OnApplicationMessage(peers::Peers::Channel::kRations, {});
   peers_ = nullptr;
 }
 
@@ -168,7 +169,7 @@
   unsigned signs = rations::kNoSign;
   if (decision_.balancer().origin_overloaded()) signs |= rations::kOriginStrained;
   if (std::ranges::any_of(
-          zones_, [this](const std::string& zone) { return peers_ != nullptr && peers_->ZoneGone(zone); }))
+          zones_, [this](const std::string& zone) { return peers_ != nullptr && peers_->IsZoneGone(zone); }))
     signs |= rations::kZoneLost;
   return signs;
 }
@@ -178,16 +179,16 @@
     std::string bytes = parcel.TakeBytes();
     ++sent_;
     bytes_ += bytes.size();
-    if (peers_ == nullptr || !peers_->Carry(to, std::move(bytes))) ++unreached_;
+    if (peers_ == nullptr || !peers_->Send(to, std::move(bytes))) ++unreached_;
   };
   std::vector<std::pair<std::string, rations::MessageBatch>> parcels;  // by receiver
   for (const rations::Outgoing& out : office_.DrainOutgoing()) {
     auto at = std::ranges::find(parcels, out.router, &std::pair<std::string, rations::MessageBatch>::first);
     if (at == parcels.end()) at = parcels.insert(at, {out.router, rations::MessageBatch(print_)});
     rations::MessageBatch& parcel = at->second;
-    if (parcel.Add(out.message, peers::kMostBatch)) continue;
+    if (parcel.Add(out.message, peers::kMaxBatchBytes)) continue;
     send(out.router, parcel);
-    parcel.Add(out.message, peers::kMostBatch);
+    parcel.Add(out.message, peers::kMaxBatchBytes);
   }
   for (auto& [to, parcel] : parcels) send(to, parcel);
   // Also later than it was: an answer that has come needs nobody to wake for it.
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -37,7 +37,7 @@
 constexpr double kValuesShare = 0.3;
 
 std::int64_t Others(const Config& config) {
-  std::int64_t peers = config.peers.listen.empty() ? 0 : static_cast<std::int64_t>(peers::kDescriptors);
+  std::int64_t peers = config.peers.listen.empty() ? 0 : static_cast<std::int64_t>(peers::kMaxDescriptors);
   std::int64_t folder = config.publications.folder.empty() ? 0 : 2;  // and what is written in it
   return kOtherDescriptors + peers + folder +
          (config.admin.empty() ? 0 : static_cast<std::int64_t>(kAdminDescriptors));
--- a/src/router/work_in_hand.cpp
+++ b/src/router/work_in_hand.cpp
@@ -40,17 +40,18 @@
       decision_(decision),
       log_(log),
       manager_(OptionsOf(config), failover::ReplicaSet::Parse(config.failover.replicas), config.name,
-               peers.life(), peers::Peers::Now(),
+               peers.generation(), peers::Peers::Now(),
                [this](const failover::Proposer& proposer) {
-                 return peers_.Gone(proposer.name, proposer.generation);
+                 return peers_.IsGone(proposer.name, proposer.generation);
                }),
       tick_(base, [this] {
-        manager_.SetGeneration(peers_.life());
+        manager_.SetGeneration(peers_.generation());
         manager_.Tick(peers::Peers::Now());
         Flush();
       }) {
-  peers_.OnCargo(peers::Peers::Lane::kWork,
-                 [this](const std::string& from, const std::string& bytes) { Arrived(from, bytes); });
+  peers_.OnApplicationMessage(
+      peers::Peers::Channel::kWork,
+      [this](const std::string& from, const std::string& bytes) { Arrived(from, bytes); });
   decision_.SetOperationTracker(this);
   log_.Line("failover", fmt::format("records at three of {} replicas", manager_.replica_set().all().size()));
   Flush();
@@ -58,7 +59,7 @@
 
 // What is open goes on untracked.
 WorkInHand::~WorkInHand() {
-  peers_.OnCargo(peers::Peers::Lane::kWork, {});
+  peers_.OnApplicationMessage(peers::Peers::Channel::kWork, {});
   manager_.ContinueUntracked(peers::Peers::Now());
   Flush();
   decision_.SetOperationTracker(nullptr);
@@ -83,7 +84,7 @@
 
 void WorkInHand::StartTracking(RequestId id, const Request& request, Duration left) {
   failover::TimePoint now = peers::Peers::Now();
-  manager_.SetGeneration(peers_.life());
+  manager_.SetGeneration(peers_.generation());
   manager_.Open(now, static_cast<failover::OwnershipManager::RequestNumber>(id), NameOf(request),
                 settings_.classes[static_cast<std::size_t>(request.cls)], now + left);
 }
@@ -134,12 +135,13 @@
     parcel = {};
     ++sent_;
     bytes_ += bytes.size();
-    if (!peers_.Carry(to, std::move(bytes))) ++unreached_;
+    if (!peers_.Send(to, std::move(bytes))) ++unreached_;
   };
   for (failover::OwnershipManager::Outgoing& out : manager_.DrainOutgoing()) {
     Parcel& parcel = parcels[out.router];
     std::size_t more = failover::EncodedSizeBound(out.message);
-    std::size_t most = out.message.kind == failover::Kind::kSyncRecord ? kMostSyncBytes : peers::kMostBatch;
+    std::size_t most =
+        out.message.kind == failover::Kind::kSyncRecord ? kMostSyncBytes : peers::kMaxBatchBytes;
     bool full = parcel.size + more > most || parcel.messages.size() >= failover::kMaxMessages;
     if (full && !parcel.messages.empty()) send(out.router, parcel);
     parcel.size += more;
--- a/src/twin/fleet.cpp
+++ b/src/twin/fleet.cpp
@@ -13,7 +13,7 @@
 using peers::Message;
 using peers::Record;
 
-constexpr Span kDisturbed = 4s;  // for which what a fault did may still be taken for a death
+constexpr Duration kDisturbed = 4s;  // for which what a fault did may still be taken for a death
 constexpr std::size_t kNobody = ~std::size_t{0};
 
 }  // namespace
@@ -37,7 +37,7 @@
   return node < nodes_.size() ? node : kNobody;
 }
 
-void Fleet::Disturb(std::size_t node, Time until) {
+void Fleet::Disturb(std::size_t node, TimePoint until) {
   nodes_[node].disturbed_until = std::max(nodes_[node].disturbed_until, until + kDisturbed);
 }
 
@@ -51,14 +51,14 @@
   auto ms = static_cast<std::uint64_t>(now() / 1ms);
   if (!setup_.reuse_lives || node.starts == 0) node.life = (ms << 20) | (random_.Word() & 0xfffff);
   ++node.starts;
-  self.life = node.life;
+  self.generation = node.life;
   self.address = Address(i);
   self.zone = i % 2 == 0 ? "east" : "west";
   self.version = "0";
-  node.killed_at = Time{-1};
+  node.killed_at = TimePoint{-1};
   node.ended.clear();
   node.waiting.clear();
-  node.stalled_until = Time{};
+  node.stalled_until = TimePoint{};
   Disturb(i, now());
   node.process = std::make_unique<Membership>(
       setup_.options, self, node.seeds, random_.Word(), now(),
@@ -66,7 +66,7 @@
       [this, i](const std::string& text) {
         Note(fmt::format("{:.6f} {} says: {}", world::Seconds(now()), i, text));
       });
-  node.due = Time{-1};
+  node.due = TimePoint{-1};
   Note(fmt::format("{:.6f} {} starts, life {:x}", world::Seconds(now()), i, node.life));
   Step(i);
 }
@@ -74,7 +74,7 @@
 void Fleet::Kill(std::size_t i) {
   Node& node = nodes_[i];
   if (!node.process) return;
-  node.life = node.process->self().life;
+  node.life = node.process->self().generation;
   node.process.reset();
   node.killed_at = now();
   Disturb(i, now() + 1h);
@@ -92,7 +92,7 @@
   });
 }
 
-void Fleet::Stall(std::size_t i, Span span) {
+void Fleet::Stall(std::size_t i, Duration span) {
   Node& node = nodes_[i];
   if (!node.process) return;
   node.stalled_until = std::max(node.stalled_until, now() + span);
@@ -121,9 +121,9 @@
 
 // ---- Links -------------------------------------------------------------------------------------------
 
-Span Fleet::Way() {
-  return setup_.links.delay +
-         Span(static_cast<Span::rep>(links_.Unit() * static_cast<double>(setup_.links.spread.count())));
+Duration Fleet::Way() {
+  return setup_.links.delay + Duration(static_cast<Duration::rep>(
+                                  links_.Unit() * static_cast<double>(setup_.links.spread.count())));
 }
 
 void Fleet::Send(std::size_t from, std::vector<peers::Outgoing> out) {
@@ -134,37 +134,39 @@
     if (to == kNobody) continue;
     if (trace_) {
       Note(fmt::format("{:.6f} {} -> {} {} #{} probe {} records {}", world::Seconds(now()), from, to,
-                       peers::kKindNames[static_cast<int>(one.message.kind)], one.message.number,
+                       peers::kMessageKindNames[static_cast<int>(one.message.kind)], one.message.sequence,
                        one.message.probe, one.message.records.size()));
     }
     auto message = std::make_shared<const Message>(std::move(one.message));
     if (one.stream) {
-      Deliver(from, to, std::move(message), peers::Via::kStream);
+      Deliver(from, to, std::move(message), peers::Transport::kStreamRequest);
       continue;
     }
     int copies = links_.Chance(setup_.links.loss) ? 0 : links_.Chance(setup_.links.duplicate) ? 2 : 1;
-    for (; copies > 0; --copies) Deliver(from, to, message, peers::Via::kDatagram);
+    for (; copies > 0; --copies) Deliver(from, to, message, peers::Transport::kDatagram);
   }
 }
 
 void Fleet::Deliver(std::size_t from, std::size_t to, std::shared_ptr<const Message> message,
-                    peers::Via via) {
+                    peers::Transport transport) {
   if (cuts_.contains({from, to})) return;
-  agenda_.In(Way(), [this, from, to, message = std::move(message), via] { Arrive(from, to, *message, via); });
+  agenda_.In(Way(), [this, from, to, message = std::move(message), transport] {
+    Arrive(from, to, *message, transport);
+  });
 }
 
-void Fleet::Arrive(std::size_t from, std::size_t to, const Message& message, peers::Via via) {
+void Fleet::Arrive(std::size_t from, std::size_t to, const Message& message, peers::Transport transport) {
   Node& node = nodes_[to];
   if (!node.process || cuts_.contains({from, to})) return;
   if (node.stalled_until > now()) {
-    node.waiting.push_back([this, from, to, message, via] { Arrive(from, to, message, via); });
+    node.waiting.push_back([this, from, to, message, transport] { Arrive(from, to, message, transport); });
     return;
   }
   std::vector<peers::Outgoing> out;
-  auto answer = node.process->Take(now(), message, via, out);
-  if (answer && via == peers::Via::kStream) {
+  auto answer = node.process->Receive(now(), message, transport, out);
+  if (answer && transport == peers::Transport::kStreamRequest) {
     if (setup_.count_bytes) traffic_.bytes += peers::Encode(*answer).size();
-    Deliver(to, from, std::make_shared<const Message>(std::move(*answer)), peers::Via::kAnswer);
+    Deliver(to, from, std::make_shared<const Message>(std::move(*answer)), peers::Transport::kStreamReply);
   }
   Send(to, std::move(out));
   Schedule(to);
@@ -172,13 +174,13 @@
 
 void Fleet::Schedule(std::size_t i) {
   Node& node = nodes_[i];
-  Time due = std::max(node.process->Due(), now());
-  if (node.due >= Time{} && node.due <= due) return;
+  TimePoint due = std::max(node.process->Due(), now());
+  if (node.due >= TimePoint{} && node.due <= due) return;
   node.due = due;
   agenda_.At(due, [this, i, due, starts = node.starts] {
     Node& one = nodes_[i];
     if (one.starts != starts || !one.process || one.due != due) return;
-    one.due = Time{-1};
+    one.due = TimePoint{-1};
     if (one.stalled_until <= now()) Step(i);
   });
 }
@@ -194,34 +196,36 @@
 
 void Fleet::Heard(std::size_t observer, const Record* before, const Record& record) {
   Node& node = nodes_[observer];
-  if (trace_ && (before == nullptr || before->state != record.state || before->life != record.life)) {
+  if (trace_ &&
+      (before == nullptr || before->state != record.state || before->generation != record.generation)) {
     Note(fmt::format("{:.6f} {} holds {} for {}, life {:x} claim {} by {}", world::Seconds(now()), observer,
-                     record.name, peers::kStateNames[static_cast<int>(record.state)], record.life,
-                     record.claim, record.by));
+                     record.name, peers::kStateNames[static_cast<int>(record.state)], record.generation,
+                     record.incarnation, record.suspected_by));
   }
-  std::pair id{record.name, record.life};
-  if (before != nullptr && before->life < record.life) node.ended.insert({before->name, before->life});
+  std::pair id{record.name, record.generation};
+  if (before != nullptr && before->generation < record.generation)
+    node.ended.insert({before->name, before->generation});
   if (record.present()) {
     if (node.ended.contains(id))
       broken_.push_back({"came_back", fmt::format("{} holds the ended life {:x} of {} for present", observer,
-                                                  record.life, record.name)});
+                                                  record.generation, record.name)});
     return;
   }
   node.ended.insert(id);
   for (const Node& other : nodes_) {
     if (other.name != record.name) continue;
-    if (!other.process && other.life == record.life && other.killed_at >= Time{})
+    if (!other.process && other.life == record.generation && other.killed_at >= TimePoint{})
       noticed_.push_back(now() - other.killed_at);
-    bool lives = other.process && other.process->self().life == record.life &&
+    bool lives = other.process && other.process->self().generation == record.generation &&
                  other.process->phase() == Membership::Phase::kMember;
     if (lives && record.state == peers::State::kDead && now() > other.disturbed_until)
-      false_deaths_.insert(fmt::format("{}/{:x}", record.name, record.life));
+      false_deaths_.insert(fmt::format("{}/{:x}", record.name, record.generation));
   }
 }
 
 bool Fleet::Quiet() const {
-  return std::ranges::all_of(nodes_,
-                             [](const Node& node) { return !node.process || node.process->news() == 0; });
+  return std::ranges::all_of(
+      nodes_, [](const Node& node) { return !node.process || node.process->pending_gossip() == 0; });
 }
 
 bool Fleet::Agreed() const { return Difference().empty(); }
@@ -231,13 +235,13 @@
   for (const Node& node : nodes_) {
     if (!node.process || node.process->phase() == Membership::Phase::kRefused) continue;
     if (node.process->phase() != Membership::Phase::kMember) return node.name + " is no member";
-    there.insert({node.name, node.process->self().life});
+    there.insert({node.name, node.process->self().generation});
   }
   for (const Node& node : nodes_) {
     if (!node.process || node.process->phase() != Membership::Phase::kMember) continue;
-    std::set<std::pair<std::string, std::uint64_t>> view{{node.name, node.process->self().life}};
+    std::set<std::pair<std::string, std::uint64_t>> view{{node.name, node.process->self().generation}};
     for (const auto& [name, member] : node.process->members()) {
-      if (member.record.present()) view.insert({name, member.record.life});
+      if (member.record.present()) view.insert({name, member.record.generation});
     }
     if (view == there) continue;
     for (const auto& one : there) {
--- a/src/twin/fleet.h
+++ b/src/twin/fleet.h
@@ -14,13 +14,13 @@
 
 namespace peatbend::twin {
 
-using peers::Span;
-using peers::Time;
+using peers::Duration;
+using peers::TimePoint;
 
 struct Links {
   double loss = 0, duplicate = 0;  // shares of datagrams, each way
-  Span delay = std::chrono::microseconds{500},
-       spread = std::chrono::milliseconds{2};  // one way; the spread reorders
+  Duration delay = std::chrono::microseconds{500},
+           spread = std::chrono::milliseconds{2};  // one way; the spread reorders
 };
 
 struct Setup {
@@ -44,14 +44,14 @@
 
   world::Agenda& agenda() { return agenda_; }
   world::Random& random() { return random_; }
-  Time now() const { return agenda_.now(); }
+  TimePoint now() const { return agenda_.now(); }
   std::size_t size() const { return nodes_.size(); }
 
   // Faults. Each notes that the node (or pair) was disturbed, so that a death then is no false one.
   void Start(std::size_t node);
   void Kill(std::size_t node);
   void Leave(std::size_t node);
-  void Stall(std::size_t node, Span span);
+  void Stall(std::size_t node, Duration span);
   void Cut(std::size_t from, std::size_t to, bool cut);  // one way
   // Uses the name of another node; both live.
   void Name(std::size_t node, std::string name) { nodes_[node].name = std::move(name); }
@@ -73,7 +73,7 @@
   const std::set<std::string>& false_deaths() const { return false_deaths_; }
   const std::vector<Broken>& broken() const { return broken_; }
   // When each observer held `node`'s last life for gone, after its Kill; in the order of hearing.
-  const std::vector<Span>& noticed() const { return noticed_; }
+  const std::vector<Duration>& noticed() const { return noticed_; }
   // A line for each message, change and line of the log.
   void Trace(std::function<void(const std::string&)> trace) { trace_ = std::move(trace); }
 
@@ -83,20 +83,20 @@
     std::vector<std::string> seeds;
     std::unique_ptr<peers::Membership> process;
     std::uint64_t starts = 0, life = 0;
-    Time stalled_until{}, disturbed_until{}, killed_at{-1}, due{-1};
+    TimePoint stalled_until{}, disturbed_until{}, killed_at{-1}, due{-1};
     std::vector<std::function<void()>> waiting;  // what comes while it stands still
     std::set<std::pair<std::string, std::uint64_t>> ended;
   };
   void Send(std::size_t from, std::vector<peers::Outgoing> out);
   void Deliver(std::size_t from, std::size_t to, std::shared_ptr<const peers::Message> message,
-               peers::Via via);
-  void Arrive(std::size_t from, std::size_t to, const peers::Message& message, peers::Via via);
+               peers::Transport transport);
+  void Arrive(std::size_t from, std::size_t to, const peers::Message& message, peers::Transport transport);
   void Schedule(std::size_t node);
   void Step(std::size_t node);
   void Heard(std::size_t node, const peers::Record* before, const peers::Record& now);
-  void Disturb(std::size_t node, Time until);
+  void Disturb(std::size_t node, TimePoint until);
   std::size_t NodeAt(const std::string& address) const;
-  Span Way();
+  Duration Way();
   void Note(const std::string& text) {
     if (trace_) trace_(text);
   }
@@ -109,7 +109,7 @@
   Traffic traffic_;
   std::set<std::string> false_deaths_;
   std::vector<Broken> broken_;
-  std::vector<Span> noticed_;
+  std::vector<Duration> noticed_;
   std::function<void(const std::string&)> trace_;
 };
 
--- a/src/twin/schedules.cpp
+++ b/src/twin/schedules.cpp
@@ -7,15 +7,15 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span kJoined = 5s;    // from the first agreement on, for the news to have been told
-constexpr Span kTold = 60s;     // at most, for all of it
-constexpr Span kLook = 20ms;    // how often it is asked whether views agree
-constexpr Span kSettled = 15s;  // that random faults leave at the end
-constexpr Span kSplit = 30s;
+constexpr Duration kJoined = 5s;    // from the first agreement on, for the news to have been told
+constexpr Duration kTold = 60s;     // at most, for all of it
+constexpr Duration kLook = 20ms;    // how often it is asked whether views agree
+constexpr Duration kSettled = 15s;  // that random faults leave at the end
+constexpr Duration kSplit = 30s;
 
 // Until the views agree, or `until` is past; the time that took, or -1.
-double UntilAgreed(Fleet& fleet, Time until) {
-  Time from = fleet.now();
+double UntilAgreed(Fleet& fleet, TimePoint until) {
+  TimePoint from = fleet.now();
   while (!fleet.Agreed()) {
     if (fleet.now() >= until) return -1;
     fleet.agenda().RunUntil(fleet.now() + kLook);
@@ -31,15 +31,15 @@
   }
 }
 
-void Disorder(Fleet& fleet, Time until) {
+void Disorder(Fleet& fleet, TimePoint until) {
   auto& random = fleet.random();
   auto nodes = static_cast<std::uint32_t>(fleet.size());
-  for (Time at = fleet.now(); at < until;) {
+  for (TimePoint at = fleet.now(); at < until;) {
     at += world::FromSeconds(random.Exponential(0.8));
     if (at >= until) break;
     std::size_t a = random.Below(nodes), b = random.Below(nodes);
-    Span span = world::FromSeconds(random.Between(0.05, 4));
-    Time end = std::min(at + span, until);
+    Duration span = world::FromSeconds(random.Between(0.05, 4));
+    TimePoint end = std::min(at + span, until);
     switch (random.Below(6)) {
       case 0:
         fleet.agenda().At(at, [&fleet, a] { fleet.Kill(a); });
@@ -72,7 +72,7 @@
 
 }  // namespace
 
-Outcome Play(const Setup& setup, Schedule schedule, Span length,
+Outcome Play(const Setup& setup, Schedule schedule, Duration length,
              const std::function<void(const std::string&)>& trace) {
   Outcome outcome;
   outcome.seed = setup.seed;
@@ -84,17 +84,17 @@
   });
   if (!trace && setup.nodes > 20) fleet.Trace({});  // as fast as it goes
   for (std::size_t i = 0; i < fleet.size(); ++i) {
-    Span after = world::FromMs(fleet.random().Between(0, 500));
+    Duration after = world::FromMs(fleet.random().Between(0, 500));
     fleet.agenda().In(after, [&fleet, i] { fleet.Start(i); });
   }
   fleet.agenda().RunUntil(fleet.now() + 500ms);
   outcome.join_s = UntilAgreed(fleet, fleet.now() + 30s);
   fleet.agenda().RunUntil(fleet.now() + kJoined);
   // A large fleet that starts at once has much to tell; under loss there is always something.
-  Time tells = fleet.now() + kTold;
+  TimePoint tells = fleet.now() + kTold;
   while (setup.links.loss == 0 && !fleet.Quiet() && fleet.now() < tells)
     fleet.agenda().RunUntil(fleet.now() + kLook);
-  Time begin = fleet.now();
+  TimePoint begin = fleet.now();
   Fleet::Traffic before = fleet.traffic();
   std::size_t noticed_before = fleet.noticed().size();
 
@@ -112,7 +112,7 @@
       break;
     }
     case Schedule::kStall:
-      for (Time at = begin; at < begin + length; at += 3s)
+      for (TimePoint at = begin; at < begin + length; at += 3s)
         fleet.agenda().At(at, [&fleet] { fleet.Stall(0, 1s); });
       fleet.agenda().RunUntil(begin + length);
       break;
--- a/src/twin/schedules.h
+++ b/src/twin/schedules.h
@@ -27,7 +27,7 @@
 };
 
 // `trace`: gets a line for each message and change.
-Outcome Play(const Setup& setup, Schedule schedule, Span length,
+Outcome Play(const Setup& setup, Schedule schedule, Duration length,
              const std::function<void(const std::string&)>& trace = {});
 
 }  // namespace peatbend::twin
--- a/tests/fuzz/peers_fuzz.cpp
+++ b/tests/fuzz/peers_fuzz.cpp
@@ -1,6 +1,5 @@
-// Whatever bytes come from a peer: decoded, and what decodes is taken by a membership that knows some others.
-// Built with clang and libFuzzer (scripts/fuzz); the same entry point is run over mutated messages by CI's
-// tests.
+// Fuzzes the decoder with arbitrary bytes, and passes decoded messages to a membership with a few members.
+// Built with clang and libFuzzer (scripts/fuzz); CI's tests run the same entry point over mutated messages.
 #include <algorithm>
 #include <cstddef>
 #include <cstdint>
@@ -16,23 +15,23 @@
 
 namespace {
 
-Record Of(const char* name, std::uint64_t life, const char* address) {
+Record Of(const char* name, std::uint64_t generation, const char* address) {
   Record r;
   r.name = name;
-  r.life = r.birth = life;
+  r.generation = r.first_generation = generation;
   r.address = address;
   return r;
 }
 
-// A whole message of each kind, for the fuzzer to spoil.
+// A valid message of each kind as a basis for mutations.
 std::string Sample(unsigned which) {
   Message m;
-  m.kind = static_cast<Kind>(which % 7);
+  m.kind = static_cast<MessageKind>(which % 7);
   m.fleet = "f";
   m.from = which % 3 == 0 ? "me" : which % 3 == 1 ? "other" : "new";
-  m.reply = "b:1";
-  m.life = m.birth = 5 + which % 5;
-  m.number = which;
+  m.reply_to = "b:1";
+  m.generation = m.first_generation = 5 + which % 5;
+  m.sequence = which;
   m.member = which % 4 != 0;
   m.target = "third";
   m.target_address = "c:1";
@@ -44,42 +43,44 @@
 
 }  // namespace
 
-extern "C" std::size_t LLVMFuzzerMutate(std::uint8_t* data, std::size_t size, std::size_t most);
+extern "C" std::size_t LLVMFuzzerMutate(std::uint8_t* data, std::size_t size, std::size_t max_size);
 
-extern "C" std::size_t LLVMFuzzerCustomMutator(std::uint8_t* data, std::size_t size, std::size_t most,
+extern "C" std::size_t LLVMFuzzerCustomMutator(std::uint8_t* data, std::size_t size, std::size_t max_size,
                                                unsigned seed) {
   if (seed % 8 == 0) {
     std::string sample = Sample(seed / 8);
-    size = std::min(sample.size(), most);
+    size = std::min(sample.size(), max_size);
     std::copy_n(sample.begin(), size, data);
   }
-  return LLVMFuzzerMutate(data, size, most);
+  return LLVMFuzzerMutate(data, size, max_size);
 }
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   std::string_view bytes(reinterpret_cast<const char*>(data), size);
   Message message;
-  if (Decode(bytes, kMostStream, "f", message) != Fault::kNone) return 0;
-  Membership it(Options{.fleet = "f", .most = 16}, Of("me", 9, "a:1"), {"b:1"}, 1, Time{10s});
+  if (Decode(bytes, kMaxStreamBytes, "f", message) != DecodeError::kNone) return 0;
+  Membership membership(Options{.fleet = "f", .max_members = 16}, Of("me", 9, "a:1"), {"b:1"}, 1,
+                        TimePoint{10s});
   std::vector<Outgoing> out;
   Message table;
-  table.kind = Kind::kTable;
+  table.kind = MessageKind::kTable;
   table.fleet = "f";
   table.from = "other";
-  table.reply = "b:1";
-  table.life = table.birth = 5;
+  table.reply_to = "b:1";
+  table.generation = table.first_generation = 5;
   table.member = true;
   table.records = {Of("other", 5, "b:1"), Of("third", 6, "c:1")};
-  it.Step(Time{10s}, out);
-  it.Take(Time{10s}, table, Via::kAnswer, out);
-  for (Via via : {Via::kDatagram, Via::kStream, Via::kAnswer, Via::kDatagram}) {
-    it.Take(Time{10s + 10ms}, message, via, out);
-    it.Step(Time{10s + 400ms}, out);
+  membership.Step(TimePoint{10s}, out);
+  membership.Receive(TimePoint{10s}, table, Transport::kStreamReply, out);
+  for (Transport transport :
+       {Transport::kDatagram, Transport::kStreamRequest, Transport::kStreamReply, Transport::kDatagram}) {
+    membership.Receive(TimePoint{10s + 10ms}, message, transport, out);
+    membership.Step(TimePoint{10s + 400ms}, out);
   }
-  // Bounded whatever is told: names kept, and the size of what is sent on.
-  if (it.members().size() > 16) std::abort();
+  // The number of members and the size of datagrams stay within their limits.
+  if (membership.members().size() > 16) std::abort();
   for (const Outgoing& one : out) {
-    if (!one.stream && Encode(one.message).size() > kMostDatagram) std::abort();
+    if (!one.stream && Encode(one.message).size() > kMaxDatagramBytes) std::abort();
   }
   return 0;
 }
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -1,4 +1,4 @@
-// Single steps of the decisions, by hand. What many do together is in twin_test.cpp.
+// Membership of a single router, step by step. twin_test.cpp covers whole fleets.
 #include "peers/membership.h"
 
 #include <doctest/doctest.h>
@@ -8,193 +8,196 @@
 namespace peatbend::peers {
 namespace {
 
-Record Of(const std::string& name, std::uint64_t life, const std::string& address) {
+Record Of(const std::string& name, std::uint64_t generation, const std::string& address) {
   Record r;
   r.name = name;
-  r.life = r.birth = life;
+  r.generation = r.first_generation = generation;
   r.address = address;
   return r;
 }
 
-struct One {
-  explicit One(std::vector<std::string> seeds = {}, std::uint64_t life = 100)
-      : it(Options{.fleet = "f"}, Of("me", life, "a:1"), std::move(seeds), 1, now, {},
-           [this](const std::string& line) { said += line + "\n"; }) {}
-  std::vector<Outgoing> Step(Span later) {
+struct TestMembership {
+  explicit TestMembership(std::vector<std::string> seeds = {}, std::uint64_t generation = 100)
+      : membership(Options{.fleet = "f"}, Of("me", generation, "a:1"), std::move(seeds), 1, now, {},
+                   [this](const std::string& line) { log += line + "\n"; }) {}
+  std::vector<Outgoing> Step(Duration later) {
     std::vector<Outgoing> out;
-    it.Step(now += later, out);
+    membership.Step(now += later, out);
     return out;
   }
-  // Steps as often as it asks for, until `later` is over.
-  std::vector<Outgoing> Run(Span later) {
+  // Calls Step whenever it is due, for the duration `later`.
+  std::vector<Outgoing> Run(Duration later) {
     std::vector<Outgoing> all;
-    for (Time until = now + later; now < until;) {
-      auto out = Step(std::min(it.Due(), until) - now);
+    for (TimePoint until = now + later; now < until;) {
+      auto out = Step(std::min(membership.Due(), until) - now);
       all.insert(all.end(), out.begin(), out.end());
     }
     return all;
   }
-  std::vector<Outgoing> Take(Message m, Via via = Via::kDatagram) {
+  std::vector<Outgoing> Receive(Message m, Transport transport = Transport::kDatagram) {
     std::vector<Outgoing> out;
-    answer = it.Take(now, m, via, out);
+    answer = membership.Receive(now, m, transport, out);
     return out;
   }
-  const Record& Sees(const std::string& name) { return it.members().at(name).record; }
-  Time now{10s};
-  std::string said;
+  const Record& Sees(const std::string& name) { return membership.members().at(name).record; }
+  TimePoint now{10s};
+  std::string log;
   std::optional<Message> answer;
-  Membership it;
+  Membership membership;
 };
 
-Message From(const Record& sender, Kind kind, std::uint64_t number, std::vector<Record> records = {}) {
+Message From(const Record& sender, MessageKind kind, std::uint64_t sequence,
+             std::vector<Record> records = {}) {
   Message m;
   m.kind = kind;
   m.fleet = "f";
   m.from = sender.name;
-  m.reply = sender.address;
-  m.life = sender.life;
-  m.birth = sender.birth;
-  m.number = number;
+  m.reply_to = sender.address;
+  m.generation = sender.generation;
+  m.first_generation = sender.first_generation;
+  m.sequence = sequence;
   m.member = true;
   m.records = std::move(records);
   return m;
 }
 
-Message AckOf(const Record& sender, const Outgoing& ping, std::uint64_t number, You you = You::kPresent) {
-  Message ack = From(sender, Kind::kAck, number);
+Message AckOf(const Record& sender, const Outgoing& ping, std::uint64_t sequence,
+              ReceiverStatus receiver_status = ReceiverStatus::kPresent) {
+  Message ack = From(sender, MessageKind::kAck, sequence);
   ack.probe = ping.message.probe;
-  ack.you = you;
+  ack.receiver_status = receiver_status;
   return ack;
 }
 
 const Record kOther = Of("other", 50, "b:1");
 
-TEST_CASE("peers: silence leads to suspicion, then to death; a word in between refutes it") {
+TEST_CASE("peers: a silent member is suspected and then dead; a refutation in between clears the suspicion") {
   for (bool refutes : {false, true}) {
-    One one;
-    one.Take(From(kOther, Kind::kGossip, 1, {kOther}));
-    one.Run(250ms);
-    REQUIRE(one.Sees("other").state == State::kSuspect);
+    TestMembership test;
+    test.Receive(From(kOther, MessageKind::kGossip, 1, {kOther}));
+    test.Run(250ms);
+    REQUIRE(test.Sees("other").state == State::kSuspect);
     if (refutes) {
       Record again = kOther;
-      again.claim = 1;
-      one.Take(From(kOther, Kind::kGossip, 2, {again}));
-      CHECK(one.Sees("other").state == State::kAlive);
+      again.incarnation = 1;
+      test.Receive(From(kOther, MessageKind::kGossip, 2, {again}));
+      CHECK(test.Sees("other").state == State::kAlive);
     } else {
-      one.Run(1500ms);
-      CHECK(one.Sees("other").state == State::kDead);
-      // Nothing of that life brings it back, the next life does.
+      test.Run(1500ms);
+      CHECK(test.Sees("other").state == State::kDead);
+      // No record of the dead generation revives the member; a new generation does.
       Record again = kOther;
-      again.claim = 99;
-      one.Take(From(kOther, Kind::kGossip, 2, {again}));
-      CHECK(one.Sees("other").state == State::kDead);
-      again.life = 51;
-      one.Take(From(again, Kind::kGossip, 1, {again}));
-      CHECK(one.Sees("other").state == State::kAlive);
+      again.incarnation = 99;
+      test.Receive(From(kOther, MessageKind::kGossip, 2, {again}));
+      CHECK(test.Sees("other").state == State::kDead);
+      again.generation = 51;
+      test.Receive(From(again, MessageKind::kGossip, 1, {again}));
+      CHECK(test.Sees("other").state == State::kAlive);
     }
   }
 }
 
-TEST_CASE("peers: a process that hears of its own death goes on as another") {
-  One one;
-  Record dead = one.it.self();
+TEST_CASE("peers: a process that learns of its own death starts a new generation") {
+  TestMembership test;
+  Record dead = test.membership.self();
   dead.state = State::kDead;
-  one.Take(From(kOther, Kind::kGossip, 1, {kOther, dead}));
-  CHECK(one.it.self().life == 101);
-  CHECK(one.it.self().birth == 100);
-  CHECK(one.it.StandingAt(one.now) != Standing::kSure);
+  test.Receive(From(kOther, MessageKind::kGossip, 1, {kOther, dead}));
+  CHECK(test.membership.self().generation == 101);
+  CHECK(test.membership.self().first_generation == 100);
+  CHECK(test.membership.StatusAt(test.now) != SelfStatus::kConfirmed);
 }
 
-TEST_CASE("peers: standing still makes all beliefs old, and is noticed before anything is done") {
-  One one;
-  one.Take(From(kOther, Kind::kGossip, 1, {kOther}));
-  auto ping = one.Step(1ms);
+TEST_CASE("peers: a stall is detected before any other work and discards earlier probes") {
+  TestMembership test;
+  test.Receive(From(kOther, MessageKind::kGossip, 1, {kOther}));
+  auto ping = test.Step(1ms);
   REQUIRE(!ping.empty());
-  one.Take(AckOf(kOther, ping.front(), 2));
-  CHECK(one.it.StandingAt(one.now) == Standing::kSure);
-  ping = one.Run(210ms);
-  one.now += 60s;  // not a step, nor anything that came in
-  CHECK(one.it.StandingAt(one.now) == Standing::kUnsure);
-  one.Take(AckOf(kOther, ping.back(), 3));  // has waited in the socket since before
-  CHECK(one.it.StandingAt(one.now) == Standing::kUnsure);
-  CHECK(one.it.figures().stalls == 1);
-  ping = one.Step(1ms);
-  CHECK(one.Sees("other").state == State::kAlive);  // nobody is judged by what was asked before
-  one.Take(AckOf(kOther, ping.front(), 4));
-  CHECK(one.it.StandingAt(one.now) == Standing::kSure);
+  test.Receive(AckOf(kOther, ping.front(), 2));
+  CHECK(test.membership.StatusAt(test.now) == SelfStatus::kConfirmed);
+  ping = test.Run(210ms);
+  test.now += 60s;  // the process is stopped: no step and no message
+  CHECK(test.membership.StatusAt(test.now) == SelfStatus::kUnconfirmed);
+  test.Receive(AckOf(kOther, ping.back(), 3));  // received before the stall, read after it
+  CHECK(test.membership.StatusAt(test.now) == SelfStatus::kUnconfirmed);
+  CHECK(test.membership.metrics().stalls == 1);
+  ping = test.Step(1ms);
+  CHECK(test.Sees("other").state == State::kAlive);  // probes from before the stall do not count
+  test.Receive(AckOf(kOther, ping.front(), 4));
+  CHECK(test.membership.StatusAt(test.now) == SelfStatus::kConfirmed);
 }
 
-TEST_CASE("peers: a message taken twice counts once, an old one of a former life not at all") {
-  One one;
-  one.Take(From(kOther, Kind::kGossip, 70, {kOther}));
+TEST_CASE("peers: duplicates and messages of a former generation are dropped") {
+  TestMembership test;
+  test.Receive(From(kOther, MessageKind::kGossip, 70, {kOther}));
   Record suspect = kOther;
-  for (std::uint64_t number : {70u, 71u, 69u, 69u, 71u, 5u}) {  // 70 came before the record did
-    one.Take(From(kOther, Kind::kPing, number));
+  for (std::uint64_t sequence :
+       {70u, 71u, 69u, 69u, 71u, 5u}) {  // the first 70 arrived before the member was known
+    test.Receive(From(kOther, MessageKind::kPing, sequence));
   }
-  CHECK(one.it.figures().replayed == 3);  // 69 and 71 again, and 5, which lies too far back
-  one.Take(From(Of("other", 49, "b:1"), Kind::kPing, 900));
-  CHECK(one.it.figures().former == 1);
+  CHECK(test.membership.metrics().replayed == 3);  // 69 and 71 again, and 5, below the window
+  test.Receive(From(Of("other", 49, "b:1"), MessageKind::kPing, 900));
+  CHECK(test.membership.metrics().former == 1);
 }
 
-TEST_CASE("peers: a newcomer does not take the name of a live process, the older stays") {
+TEST_CASE("peers: a new process does not take over the name of a live one") {
   Record older = Of("me", 40, "c:1");
   for (bool lives : {true, false}) {
-    One one({"b:1"});
-    auto out = one.Step(1ms);
+    TestMembership test({"b:1"});
+    auto out = test.Step(1ms);
     REQUIRE(out.size() == 1);
-    CHECK(out[0].message.kind == Kind::kJoin);
-    one.Take(From(kOther, Kind::kTable, 1, {kOther, older}), Via::kAnswer);
-    CHECK(one.it.phase() == Membership::Phase::kContest);
-    out = one.Step(10ms);
+    CHECK(out[0].message.kind == MessageKind::kJoin);
+    test.Receive(From(kOther, MessageKind::kTable, 1, {kOther, older}), Transport::kStreamReply);
+    CHECK(test.membership.phase() == Membership::Phase::kNameConflict);
+    out = test.Step(10ms);
     REQUIRE(out.size() == 1);
     CHECK(out[0].to == "c:1");
     if (lives) {
-      one.Take(AckOf(older, out[0], 1));
-      CHECK(one.it.phase() == Membership::Phase::kRefused);
-      CHECK(one.said.find("refused: the name me is in use by a live process at c:1") != std::string::npos);
-      one.Run(6s);
-      CHECK(one.it.phase() == Membership::Phase::kJoining);  // asks again after a while
+      test.Receive(AckOf(older, out[0], 1));
+      CHECK(test.membership.phase() == Membership::Phase::kRefused);
+      CHECK(test.log.find("refused: the name me is in use by a live process at c:1") != std::string::npos);
+      test.Run(6s);
+      CHECK(test.membership.phase() == Membership::Phase::kJoining);  // joins again after a delay
     } else {
-      one.Run(1200ms);
-      CHECK(one.it.phase() == Membership::Phase::kMember);
-      CHECK(one.it.self().life > 40);
+      test.Run(1200ms);
+      CHECK(test.membership.phase() == Membership::Phase::kMember);
+      CHECK(test.membership.self().generation > 40);
     }
   }
 }
 
-TEST_CASE("peers: a process back at its address takes its former place, whatever its clock says") {
-  One one({"b:1"}, 30);  // an hour behind
-  one.Step(1ms);
-  one.Take(From(kOther, Kind::kTable, 1, {kOther, Of("me", 40, "a:1")}), Via::kAnswer);
-  CHECK(one.it.phase() == Membership::Phase::kMember);
-  CHECK(one.it.self().life == 41);
+TEST_CASE("peers: a process restarted at its address rejoins even if its clock is behind") {
+  TestMembership test({"b:1"}, 30);  // an hour behind
+  test.Step(1ms);
+  test.Receive(From(kOther, MessageKind::kTable, 1, {kOther, Of("me", 40, "a:1")}), Transport::kStreamReply);
+  CHECK(test.membership.phase() == Membership::Phase::kMember);
+  CHECK(test.membership.self().generation == 41);
 }
 
-TEST_CASE("peers: a seed that is itself is passed over, by its address and by its voice") {
-  CHECK(One({"a:1"}).it.phase() == Membership::Phase::kMember);
-  One one({"alias:1"});
-  auto out = one.Step(1ms);
+TEST_CASE("peers: a process ignores itself as a seed, by address and by the answering name") {
+  CHECK(TestMembership({"a:1"}).membership.phase() == Membership::Phase::kMember);
+  TestMembership test({"alias:1"});
+  auto out = test.Step(1ms);
   REQUIRE(out.size() == 1);
-  one.Take(out[0].message, Via::kStream);
-  CHECK(one.it.phase() == Membership::Phase::kMember);
+  test.Receive(out[0].message, Transport::kStreamRequest);
+  CHECK(test.membership.phase() == Membership::Phase::kMember);
 }
 
-TEST_CASE("peers: seeds that are dead for a minute are asked on, paced") {
-  One one({"b:1", "c:1"});
-  std::size_t joins = one.Run(60s).size();
+TEST_CASE("peers: joins to unreachable seeds are retried at a limited rate") {
+  TestMembership test({"b:1", "c:1"});
+  std::size_t joins = test.Run(60s).size();
   CHECK(joins >= 90);
   CHECK(joins <= 125);
-  CHECK(one.it.phase() == Membership::Phase::kJoining);
-  CHECK(one.it.StandingAt(one.now) == Standing::kOut);
+  CHECK(test.membership.phase() == Membership::Phase::kJoining);
+  CHECK(test.membership.StatusAt(test.now) == SelfStatus::kNotMember);
 }
 
-TEST_CASE("peers: names beyond the bound are counted and not kept") {
-  One one;
-  std::uint64_t number = 0;
+TEST_CASE("peers: members beyond the limit are counted and not kept") {
+  TestMembership test;
+  std::uint64_t sequence = 0;
   for (int i = 0; i < 1100; ++i)
-    one.Take(From(kOther, Kind::kGossip, ++number, {Of("n" + std::to_string(i), 1, "x:1")}));
-  CHECK(one.it.members().size() == 1024);
-  CHECK(one.it.figures().over == 1100 - 1024);
+    test.Receive(From(kOther, MessageKind::kGossip, ++sequence, {Of("n" + std::to_string(i), 1, "x:1")}));
+  CHECK(test.membership.members().size() == 1024);
+  CHECK(test.membership.metrics().over == 1100 - 1024);
 }
 
 }  // namespace
--- a/tests/rations/quota_manager_test.cpp
+++ b/tests/rations/quota_manager_test.cpp
@@ -219,10 +219,10 @@
     for (Outgoing& out : managers[i]->DrainOutgoing()) to[out.router].push_back(std::move(out.message));
     for (const auto& [router, messages] : to) {
       peers::Message m;
-      m.kind = peers::Kind::kCargo;
+      m.kind = peers::MessageKind::kApplication;
       m.from = name(i);
-      m.fleet = m.reply = "127.0.0.1:7000";
-      m.cargo = Encode(1, messages);
+      m.fleet = m.reply_to = "127.0.0.1:7000";
+      m.payload = Encode(1, messages);
       in_flight.emplace_back(now + 500us, router[1] - '0', peers::Encode(m));
       ++sent;
       bytes += std::get<2>(in_flight.back()).size();
@@ -242,8 +242,9 @@
       auto& [at, to, datagram] = in_flight.front();
       peers::Message m;
       std::vector<Message> read;
-      REQUIRE(peers::Decode(datagram, peers::kMostStream, "127.0.0.1:7000", m) == peers::Fault::kNone);
-      REQUIRE(Decode(m.cargo, 1, read) == DecodeError::kNone);
+      REQUIRE(peers::Decode(datagram, peers::kMaxStreamBytes, "127.0.0.1:7000", m) ==
+              peers::DecodeError::kNone);
+      REQUIRE(Decode(m.payload, 1, read) == DecodeError::kNone);
       for (const Message& message : read) managers[to]->Receive(now, m.from, message);
       tick(to, now);
     }
