--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -8,159 +8,161 @@
 
 namespace peatbend::net {
 namespace {
-// For a connection to come up. A lost first packet is sent again after 1 s; later ones come too late.
+// TCP retransmits a lost first SYN after 1 s; later retransmissions would come too late.
 constexpr std::chrono::milliseconds kDialTimeout{1200};
-// A list under way: so many bytes of it are a sign of life.
-constexpr std::size_t kPiece = 16 * 1024;
-// What the reader may hold beyond a list: other lists and heartbeats that came in the same piece.
-constexpr std::size_t kBesides = 64 * 1024;
+// Bytes of an incomplete list after which the silence timer restarts.
+constexpr std::size_t kProgressBytes = 16 * 1024;
+// What the reader may buffer beyond one list: other lists and heartbeats received with it.
+constexpr std::size_t kReaderSlackBytes = 64 * 1024;
 
-// All that a list may take, at first. Beyond that another call is more likely to bring it in time. But a list
-// that is slow each time has to come at last: each call that ends so is followed by one that is given twice
-// as long.
-constexpr int kMostSilencesOfList = 4;
+// The time limit of a list. After a quarter more than the silence timeout a new watch is more likely to
+// deliver the list in time. The limit doubles with each unfinished list in a row, so that a list that is slow
+// each time arrives eventually.
+constexpr int kMaxListSilences = 4;
 Milliseconds ListTimeout(Milliseconds silence, int unfinished) {
-  Milliseconds most = kMostSilencesOfList * silence, timeout = silence + silence / 4;
-  for (int i = 0; i < unfinished && timeout < most; ++i) timeout *= 2;
-  return std::min(timeout, most);
+  Milliseconds max_timeout = kMaxListSilences * silence, timeout = silence + silence / 4;
+  for (int i = 0; i < unfinished && timeout < max_timeout; ++i) timeout *= 2;
+  return std::min(timeout, max_timeout);
 }
 }  // namespace
 
 DiscoveryWatch::DiscoveryWatch(event_base* base, const std::string& address, const Settings& settings,
-                               const Tuning::Discovery& tuning, ServerList known, Log& log,
+                               const Tuning::Discovery& tuning, ServerList initial, Log& log,
                                Counters& counters, OnChange on_change)
     : base_(base),
       address_(address),
       settings_(settings),
       tuning_(tuning),
-      index_(known.index),
+      index_(initial.index),
       log_(log),
       counters_(counters),
       on_change_(std::move(on_change)),
-      dial_(base, [this] { Failed("its connection does not come up"); }),
-      silence_(base, [this] { Failed("silent"); }),
-      late_(base, [this] {
+      connect_timer_(base, [this] { Fail("connection timed out"); }),
+      silence_timer_(base, [this] { Fail("silent"); }),
+      list_timer_(base, [this] {
         ++unfinished_lists_;
-        Failed("a list that does not end");
+        Fail("list not completed within its time limit");
       }) {
   ParseAddress(address, to_, to_size_);
-  known.snapshot = true;
-  Hold(known);
+  initial.snapshot = true;
+  ApplyList(initial);
 }
 
-void DiscoveryWatch::Hold(const ServerList& list) {
-  if (list.snapshot) held_.clear();
+void DiscoveryWatch::ApplyList(const ServerList& list) {
+  if (list.snapshot) servers_.clear();
   for (const ServerListEntry& entry : list.entries) {
     if (entry.entry.state == ServerState::kGone) {
-      held_.erase(entry.entry.id.name);
+      servers_.erase(entry.entry.id.name);
     } else {
-      held_.insert_or_assign(entry.entry.id.name, entry);
+      servers_.insert_or_assign(entry.entry.id.name, entry);
     }
   }
 }
 
-void DiscoveryWatch::Watch() {
+void DiscoveryWatch::StartWatch() {
   ++counters_.watches;
-  std::size_t most = static_cast<std::size_t>(tuning_.list_kb) * 1024;
-  reader_.emplace(most + kBesides);
-  splitter_.emplace(most);
-  stands_ = false;
-  late_.Stop();
-  Alive(0);
-  dial_.Set(kDialTimeout);
+  std::size_t max_list_bytes = static_cast<std::size_t>(tuning_.list_kb) * 1024;
+  reader_.emplace(max_list_bytes + kReaderSlackBytes);
+  splitter_.emplace(max_list_bytes);
+  established_ = false;
+  list_timer_.Stop();
+  RestartSilenceTimer(0);
+  connect_timer_.Set(kDialTimeout);
   socket_.reset(bufferevent_socket_new(base_, -1, BEV_OPT_CLOSE_ON_FREE));
-  if (!socket_) return Failed("no socket");
+  if (!socket_) return Fail("cannot create a socket");
   bufferevent_setcb(socket_.get(), OnRead, nullptr, OnEvent, this);
   evbuffer_add_printf(bufferevent_get_output(socket_.get()),
                       "GET /api/targets?watch=1&from=%lld HTTP/1.1\r\nHost: %s\r\n\r\n",
                       static_cast<long long>(index_), address_.c_str());
   bufferevent_enable(socket_.get(), EV_READ | EV_WRITE);
   if (bufferevent_socket_connect(socket_.get(), reinterpret_cast<sockaddr*>(&to_), to_size_) != 0) {
-    Failed("cannot connect");
+    Fail("cannot connect");
   }
 }
 
-// Versions are one discovery's own: a number of the old one's, told to the new, could skip changes or wait
-// for one that never comes. So the whole list is asked for.
-void DiscoveryWatch::MoveTo(const std::string& address) {
+// Versions are local to one discovery server: a version of the old server could make the new one skip changes
+// or wait for a version that it never reaches. So the watch starts with the full list.
+void DiscoveryWatch::ChangeAddress(const std::string& address) {
   ParseAddress(address, to_, to_size_);
   address_ = address;
   index_ = 0;
   unfinished_lists_ = 0;
-  Watch();
+  StartWatch();
 }
 
 void DiscoveryWatch::Read() {
   auto status = reader_->Read(bufferevent_get_input(socket_.get()));
-  if (status == http1::ResponseReader::Status::kMalformed) return Failed(reader_->error());
+  if (status == http1::ResponseReader::Status::kMalformed) return Fail(reader_->error());
   if (!reader_->has_head()) return;
-  if (reader_->status() != 200) return Failed("status " + std::to_string(reader_->status()));
+  if (reader_->status() != 200) return Fail("status " + std::to_string(reader_->status()));
   std::string_view text = Contents(reader_->body());
   while (!text.empty()) {
     switch (splitter_->Next(text)) {
-      case ListSplitter::Found::kNothing:
+      case ListSplitter::Result::kIncomplete:
         break;
-      case ListSplitter::Found::kHeartbeat:
-        Heartbeat();
+      case ListSplitter::Result::kHeartbeat:
+        OnHeartbeat();
         break;
-      case ListSplitter::Found::kList:
-        Alive(0);
-        late_.Stop();
-        if (!Take(splitter_->TakeList())) return;
+      case ListSplitter::Result::kList:
+        RestartSilenceTimer(0);
+        list_timer_.Stop();
+        if (!OnList(splitter_->TakeList())) return;
         break;
-      case ListSplitter::Found::kBad:
-        return Failed("malformed list: " + splitter_->error());
+      case ListSplitter::Result::kMalformed:
+        return Fail("malformed list: " + splitter_->error());
     }
   }
   evbuffer* body = reader_->body();
   evbuffer_drain(body, evbuffer_get_length(body));
-  if (status == http1::ResponseReader::Status::kDone) return Failed("watch ended");
-  std::size_t begun = splitter_->begun();
-  if (begun > 0 && !late_.pending()) late_.Set(ListTimeout(tuning_.silence, unfinished_lists_));
-  if (begun >= seen_ + kPiece) Alive(begun);
+  if (status == http1::ResponseReader::Status::kDone) return Fail("discovery ended the watch");
+  std::size_t partial_bytes = splitter_->partial_bytes();
+  if (partial_bytes > 0 && !list_timer_.pending())
+    list_timer_.Set(ListTimeout(tuning_.silence, unfinished_lists_));
+  if (partial_bytes >= progress_ + kProgressBytes) RestartSilenceTimer(partial_bytes);
 }
 
-// Only a heartbeat, a whole list or a good piece of one is a sign of life: neither a head nor a few bytes
-// are. `seen`: bytes of a list under way.
-void DiscoveryWatch::Alive(std::size_t seen) {
-  seen_ = seen;
-  silence_.Set(tuning_.silence);
+// Called for a heartbeat, a complete list or kProgressBytes of one; a response head or a few bytes do not
+// count. `progress`: bytes received of an incomplete list.
+void DiscoveryWatch::RestartSilenceTimer(std::size_t progress) {
+  progress_ = progress;
+  silence_timer_.Set(tuning_.silence);
 }
 
-// Where nothing has changed, heartbeats are all that comes: the watch stands. Not if the whole list was asked
-// for: it is still to come, and heartbeats before it are no sign of life.
-void DiscoveryWatch::Heartbeat() {
-  if (index_ == 0 && !stands_) return;
-  Alive(0);
-  if (!std::exchange(stands_, true)) on_change_(Scope::kDelta, {});
+// If nothing has changed, the first heartbeat establishes the watch. If the full list was requested,
+// heartbeats before it do not count.
+void DiscoveryWatch::OnHeartbeat() {
+  if (index_ == 0 && !established_) return;
+  RestartSilenceTimer(0);
+  if (!std::exchange(established_, true)) on_change_(Scope::kDelta, {});
 }
 
-// False if the list ended the watch.
-bool DiscoveryWatch::Take(const std::string& text) {
+// Returns false if the list ended the watch.
+bool DiscoveryWatch::OnList(const std::string& text) {
   ServerList list;
   try {
     list = ParseServerList(text, settings_);
   } catch (const std::invalid_argument& error) {
-    Failed(std::string("malformed list: ") + error.what());
+    Fail(std::string("malformed list: ") + error.what());
     return false;
   }
-  stands_ = true;
+  established_ = true;
   unfinished_lists_ = 0;
-  bool anew = !list.snapshot && list.index < index_;  // versions only grow: discovery has lost its own
-  index_ = anew ? 0 : list.index;
-  Hold(list);
+  bool index_reset =
+      !list.snapshot && list.index < index_;  // versions only increase, so discovery has lost its state
+  index_ = index_reset ? 0 : list.index;
+  ApplyList(list);
   ++counters_.server_list_changes;
   on_change_(list.snapshot ? Scope::kFull : Scope::kDelta, std::move(list.entries));
-  if (anew) Failed("changes up to a lower version than held: the whole list is asked for");
-  return !anew;
+  if (index_reset) Fail("update has a lower version than the list held; requesting the full list");
+  return !index_reset;
 }
 
-void DiscoveryWatch::Failed(std::string_view why) {
+void DiscoveryWatch::Fail(std::string_view reason) {
   ++counters_.watch_failures;
-  log_.Line("watch failed", why);
-  dial_.Stop();
-  silence_.Stop();
-  late_.Stop();
+  log_.Line("watch failed", reason);
+  connect_timer_.Stop();
+  silence_timer_.Stop();
+  list_timer_.Stop();
   socket_.reset();
   on_change_(Scope::kFailed, {});
 }
--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -1,7 +1,6 @@
-// The server list that discovery tells, and the watch on its changes. Opens a watch when told to and reports
-// how it went; when to try again is the module's to decide. Each watch that fails is told as such: one that
-// is silent for `Tuning::Discovery::silence`, at whatever point it fell silent (without an answer, within a
-// list), and sooner one whose connection does not come up.
+// Holds the server list from discovery and watches it for changes. Each failed watch is reported: one that
+// makes no progress for `Tuning::Discovery::silence` at any point (before the answer, within a list), and
+// sooner one that cannot connect. The balancer decides when to retry.
 #pragma once
 
 #include <functional>
@@ -23,39 +22,41 @@
 
 class DiscoveryWatch {
  public:
-  // Called with each change, with an empty kDelta at a watch's first heartbeat if nothing came before it, and
-  // with kFailed once for each watch that could not be had or has ended. It must not call what
-  // changes this watch.
+  // Called with each change, with an empty kDelta at a watch's first heartbeat if no list came before it, and
+  // with kFailed once for each watch that failed or ended. It must not call non-const functions of this
+  // object.
   using OnChange = std::function<void(Scope, std::vector<ServerListEntry>)>;
   DiscoveryWatch(event_base* base, const std::string& address, const Settings& settings,
-                 const Tuning::Discovery& tuning, ServerList known, Log& log, Counters& counters,
+                 const Tuning::Discovery& tuning, ServerList initial, Log& log, Counters& counters,
                  OnChange on_change);
 
-  // The list as last held, and its version.
-  const std::map<std::string, ServerListEntry>& held() const { return held_; }
+  // The current list by server name, and its version.
+  const std::map<std::string, ServerListEntry>& servers() const { return servers_; }
   std::int64_t index() const { return index_; }
 
-  // Opens a watch on what changed after the list held; ends one that is open.
-  void Watch();
-  // Opens a watch unless there is one already, whose end will be told: it would lose its place at discovery.
-  void KeepWatching() {
-    if (!socket_) Watch();
+  // Starts a watch for changes after the list held; ends the current watch, if any.
+  void StartWatch();
+  // Starts a watch unless one is open. Replacing an open one would lose its place in discovery's queue, and
+  // its end is reported anyway.
+  void EnsureWatching() {
+    if (!socket_) StartWatch();
   }
-  // Watches there from now on. The list held stays until the new discovery has told its own.
-  void MoveTo(const std::string& address);
+  // Watches another discovery server. The current list stays until the new server has sent its own.
+  void ChangeAddress(const std::string& address);
 
  private:
   static void OnRead(bufferevent*, void* self) { static_cast<DiscoveryWatch*>(self)->Read(); }
   static void OnEvent(bufferevent*, short what, void* self) {
     auto* watch = static_cast<DiscoveryWatch*>(self);
-    (what & BEV_EVENT_CONNECTED) != 0 ? watch->dial_.Stop() : watch->Failed("connection ended or refused");
+    (what & BEV_EVENT_CONNECTED) != 0 ? watch->connect_timer_.Stop()
+                                      : watch->Fail("connection closed or refused");
   }
   void Read();
-  void Alive(std::size_t seen);
-  void Heartbeat();
-  bool Take(const std::string& text);
-  void Hold(const ServerList& list);
-  void Failed(std::string_view why);
+  void RestartSilenceTimer(std::size_t progress);
+  void OnHeartbeat();
+  bool OnList(const std::string& text);
+  void ApplyList(const ServerList& list);
+  void Fail(std::string_view reason);
 
   event_base* base_;
   std::string address_;
@@ -64,16 +65,16 @@
   const Settings& settings_;
   const Tuning::Discovery& tuning_;
   std::int64_t index_;
-  std::map<std::string, ServerListEntry> held_;
+  std::map<std::string, ServerListEntry> servers_;
   Log& log_;
   Counters& counters_;
   OnChange on_change_;
-  Timer dial_, silence_, late_;
+  Timer connect_timer_, silence_timer_, list_timer_;
   std::optional<http1::ResponseReader> reader_;
   std::optional<ListSplitter> splitter_;
-  int unfinished_lists_ = 0;  // calls in a row whose list took too long
-  bool stands_ = false;       // the watch, as something has come on it
-  std::size_t seen_ = 0;      // of the list under way, at the last sign of life
+  int unfinished_lists_ = 0;  // consecutive watches whose list took too long
+  bool established_ = false;  // a list or heartbeat has arrived on this watch
+  std::size_t progress_ = 0;  // bytes of the incomplete list when the silence timer last restarted
   BuffereventPtr socket_;
 };
 
--- a/src/discovery/list_splitter.cpp
+++ b/src/discovery/list_splitter.cpp
@@ -4,46 +4,46 @@
 
 namespace peatbend::net {
 
-ListSplitter::Found ListSplitter::Next(std::string_view& text) {
-  if (!error_.empty()) return Found::kBad;
+ListSplitter::Result ListSplitter::Next(std::string_view& text) {
+  if (!error_.empty()) return Result::kMalformed;
   if (depth_ == 0) {
-    if (Found found = Between(text); found != Found::kNothing) return found;
+    if (Result result = ScanGap(text); result != Result::kIncomplete) return result;
   }
-  return text.empty() ? Found::kNothing : Within(text);
+  return text.empty() ? Result::kIncomplete : ScanList(text);
 }
 
 std::string ListSplitter::TakeList() { return std::exchange(list_, {}); }
 
-// Up to a list's first brace, which stays.
-ListSplitter::Found ListSplitter::Between(std::string_view& text) {
+// Scans the text between lists, up to but excluding the opening brace.
+ListSplitter::Result ListSplitter::ScanGap(std::string_view& text) {
   while (!text.empty() && text.front() != '{') {
     char c = text.front();
     if (c != ' ' && c != '\t' && c != '\r' && c != '\n') {
-      error_ = c == '}' ? "a closing brace too many" : "text outside of a list";
-      return Found::kBad;
+      error_ = c == '}' ? "unbalanced closing brace" : "unexpected text outside a list";
+      return Result::kMalformed;
     }
     text.remove_prefix(1);
-    if (c == '\n' && !std::exchange(after_list_, false)) return Found::kHeartbeat;
+    if (c == '\n' && !std::exchange(after_list_, false)) return Result::kHeartbeat;
   }
-  return Found::kNothing;
+  return Result::kIncomplete;
 }
 
-ListSplitter::Found ListSplitter::Within(std::string_view& text) {
+ListSplitter::Result ListSplitter::ScanList(std::string_view& text) {
   std::size_t size = 0;
-  bool whole = false;
-  while (!whole && size < text.size()) whole = Ends(text[size++]);
-  if (list_.size() + size > most_) {
+  bool complete = false;
+  while (!complete && size < text.size()) complete = EndsList(text[size++]);
+  if (list_.size() + size > max_bytes_) {
     list_ = {};
-    error_ = "a list over " + std::to_string(most_ / 1024) + " KiB (discovery.list_kb)";
-    return Found::kBad;
+    error_ = "list is larger than " + std::to_string(max_bytes_ / 1024) + " KiB (discovery.list_kb)";
+    return Result::kMalformed;
   }
   list_.append(text.substr(0, size));
   text.remove_prefix(size);
-  if (whole) after_list_ = true;
-  return whole ? Found::kList : Found::kNothing;
+  if (complete) after_list_ = true;
+  return complete ? Result::kList : Result::kIncomplete;
 }
 
-bool ListSplitter::Ends(char c) {
+bool ListSplitter::EndsList(char c) {
   if (in_string_) {
     if (escaped_) {
       escaped_ = false;
--- a/src/discovery/list_splitter.h
+++ b/src/discovery/list_splitter.h
@@ -1,6 +1,6 @@
-// Where each of discovery's lists begins and ends in the bytes of a watch. A list is a JSON object on any
-// number of lines; what else it must be is the JSON parser's to say. Keeps its state between pieces: each
-// byte is looked at once, however small the pieces are. No I/O.
+// Splits the byte stream of a discovery watch into lists. A list is a JSON object on any number of lines; the
+// JSON parser checks the rest. Incremental: scans each byte once, however small the parts are that it gets.
+// Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -11,31 +11,31 @@
 
 class ListSplitter {
  public:
-  enum class Found { kNothing, kHeartbeat, kList, kBad };
-  // `most`: bytes that one list may have.
-  explicit ListSplitter(std::size_t most) : most_(most) {}
+  enum class Result { kIncomplete, kHeartbeat, kList, kMalformed };
+  // `max_bytes`: limit for one list.
+  explicit ListSplitter(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
-  // Takes from the front of `text` up to the first thing found, or all of it. A heartbeat is a line of no or
-  // white space only, outside of a list; the rest of the line on which a list ended is none.
-  Found Next(std::string_view& text);
+  // Consumes `text` up to the end of the first list or heartbeat, or all of it. A heartbeat is a blank line
+  // outside a list; the rest of the line on which a list ended does not count as one.
+  Result Next(std::string_view& text);
 
-  // After kList: that list, from its first brace to its last. The caller's, once.
+  // After kList: moves that list out, from its first brace to its last.
   std::string TakeList();
-  // Bytes that have come of a list that is not whole; 0 between lists.
-  std::size_t begun() const { return depth_ > 0 ? list_.size() : 0; }
-  // After kBad, which is for good: what was wrong.
+  // Bytes received of an incomplete list; 0 between lists.
+  std::size_t partial_bytes() const { return depth_ > 0 ? list_.size() : 0; }
+  // The reason for kMalformed, which is permanent.
   const std::string& error() const { return error_; }
 
  private:
-  Found Between(std::string_view& text);
-  Found Within(std::string_view& text);
-  bool Ends(char c);  // the list, with this character of it
+  Result ScanGap(std::string_view& text);
+  Result ScanList(std::string_view& text);
+  bool EndsList(char c);  // whether `c` closes the list
 
-  std::size_t most_;
+  std::size_t max_bytes_;
   std::string list_, error_;
-  std::size_t depth_ = 0;  // braces open outside of strings
+  std::size_t depth_ = 0;  // open braces outside strings
   bool in_string_ = false, escaped_ = false;
-  bool after_list_ = false;  // on the line on which a list ended
+  bool after_list_ = false;  // on the line where a list ended
 };
 
 }  // namespace peatbend::net
--- a/src/discovery/server_list.cpp
+++ b/src/discovery/server_list.cpp
@@ -11,26 +11,26 @@
 
 using nlohmann::json;
 
-// A field of an entry; throws if it is of another type, or missing and needed.
+// A field of `object`; throws std::invalid_argument if it has another type or is missing without a fallback.
 template <typename T>
-T Field(const json& object, const char* name, const T* otherwise = nullptr) {
+T Field(const json& object, const char* name, const T* fallback = nullptr) {
   auto at = object.find(name);
   if (at == object.end() || at->is_null()) {
-    if (otherwise != nullptr) return *otherwise;
+    if (fallback != nullptr) return *fallback;
     throw std::invalid_argument(std::string(name) + ": missing");
   }
   try {
     return at->get<T>();
   } catch (const json::exception&) {
-    throw std::invalid_argument(std::string(name) + ": of the wrong type");
+    throw std::invalid_argument(std::string(name) + ": wrong type");
   }
 }
 template <typename T>
-T FieldOr(const json& object, const char* name, const T& otherwise) {
-  return Field<T>(object, name, &otherwise);
+T FieldOr(const json& object, const char* name, const T& fallback) {
+  return Field<T>(object, name, &fallback);
 }
 
-// Its index; names that the settings do not have get one that none of them has.
+// The index of `name`; names.size() if it is not in the settings.
 int IndexOf(const std::vector<std::string>& names, const std::string& name) {
   return static_cast<int>(std::find(names.begin(), names.end(), name) - names.begin());
 }
@@ -48,17 +48,17 @@
   } else if (status == "DELETED") {
     entry.entry.state = ServerState::kGone;
   } else {
-    throw std::invalid_argument("status: not known: " + status);
+    throw std::invalid_argument("status: unknown value: " + status);
   }
-  bool gone = entry.entry.state == ServerState::kGone;
-  std::string none;
-  entry.address = Field<std::string>(object, "address", gone ? &none : nullptr);
+  bool deleted = entry.entry.state == ServerState::kGone;
+  std::string empty;
+  entry.address = Field<std::string>(object, "address", deleted ? &empty : nullptr);
   if (!entry.address.empty()) ParseAddress(entry.address, entry.to, entry.to_size);
   entry.entry.zone = IndexOf(settings.zones, FieldOr<std::string>(object, "zone", ""));
   entry.entry.kind = IndexOf(settings.kinds, FieldOr<std::string>(object, "type", ""));
   entry.entry.cell = FieldOr<int>(object, "group", 0);
   entry.entry.weight = FieldOr<double>(object, "weight", 1.0);
-  // The module's clock shows Unix time (clock.h), and 0 means long ago to both.
+  // The balancer's clock counts Unix time (clock.h); 0 means that the start time is unknown, long ago.
   double since = FieldOr<double>(object, "since_ms", 0.0);
   if (!(since >= 0 && since < 9e12)) throw std::invalid_argument("since_ms: out of range");
   entry.entry.started = TimePoint{std::chrono::milliseconds(std::llround(since))};
--- a/src/discovery/server_list.h
+++ b/src/discovery/server_list.h
@@ -1,4 +1,4 @@
-// Discovery's list in its JSON form.
+// The server list of discovery and its JSON format.
 #pragma once
 
 #include <sys/socket.h>
@@ -20,15 +20,15 @@
 };
 
 struct ServerList {
-  std::int64_t index = 0;
-  bool snapshot = false;
+  std::int64_t index = 0;  // version
+  bool snapshot = false;   // the full list; otherwise changes only
   std::vector<ServerListEntry> entries;
 };
 
-// Throws std::invalid_argument, naming the key at fault.
+// Both throw std::invalid_argument that names the faulty key.
 ServerList ReadServerList(const nlohmann::json& json, const Settings& settings);
 ServerList ParseServerList(std::string_view text, const Settings& settings);
-// The entry as discovery would state it.
+// The entry in discovery's JSON format.
 nlohmann::json WriteServerListEntry(const ServerListEntry& entry, const Settings& settings);
 
 }  // namespace peatbend::net
--- a/src/router/figures.cpp
+++ b/src/router/figures.cpp
@@ -38,7 +38,7 @@
   auto cached = [this](const auto& one) {
     return !running_.settings.cache_aside || one.second.entry.kind != running_.settings.origin_kind;
   };
-  add("targets", static_cast<std::uint64_t>(std::ranges::count_if(discovery_watch_.held(), cached)));
+  add("targets", static_cast<std::uint64_t>(std::ranges::count_if(discovery_watch_.servers(), cached)));
   add("targets_disabled", decision_.balancer().unavailable());
   auto part = [&add](const std::string& prefix, auto& of) {
     if (!of) return;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -77,7 +77,7 @@
       room_known_(!inherited),
       connections_(base, running_.settings, running_.tuning.members, sockets_, clock_, log_, counters_),
       decision_(
-          base, running_.settings, config.seed, connections_, [this] { discovery_watch_.KeepWatching(); },
+          base, running_.settings, config.seed, connections_, [this] { discovery_watch_.EnsureWatching(); },
           clock_, log_, counters_),
       discovery_watch_(base, config.discovery, running_.settings, running_.tuning.discovery,
                        Known(config, inherited, log_), log_, counters_,
@@ -116,7 +116,7 @@
     if (life_.ServerListHeld()) Moved();
   });
   std::vector<ServerListEntry> entries;
-  for (const auto& [name, entry] : discovery_watch_.held()) entries.push_back(entry);
+  for (const auto& [name, entry] : discovery_watch_.servers()) entries.push_back(entry);
   std::size_t known = entries.size();
   if (inherited) {
     if (inherited->away) Leave();
@@ -281,7 +281,7 @@
   offer.index = discovery_watch_.index();
   offer.keeps = Keeps();
   offer.away = life_.away();
-  for (const auto& [name, entry] : discovery_watch_.held())
+  for (const auto& [name, entry] : discovery_watch_.servers())
     offer.endpoints.push_back(WriteServerListEntry(entry, running_.settings));
   return offer;
 }
@@ -354,7 +354,7 @@
   } else {
     log_.Line("reload", "discovery is now at " + config.discovery);
     running_.discovery = config.discovery;
-    discovery_watch_.MoveTo(config.discovery);
+    discovery_watch_.ChangeAddress(config.discovery);
   }
   auto at_next_start = [this](bool differs, std::string_view key) {
     if (differs) log_.Line("reload", std::string(key) + ": differs, holds from the next start");
