--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -69,7 +69,7 @@
   std::vector<std::string> pieces;
   for (std::size_t from = 0; from < list.size(); from += list.size() / 8 + 1)
     pieces.push_back(HttpChunk(list.substr(from, list.size() / 8 + 1)));
-  pieces.push_back(HttpChunk("\n"));  // a heartbeat after the list is complete
+  pieces.push_back(HttpChunk("\n"));  // then heartbeats: the time limit ends with the list
   WatchFixture watch(1600);  // the list takes 1.68 s: longer than the silence timeout, less than 1.25 times
   watch.SendPeriodically(watch.Answer(kWatchHead), pieces, 240);
   watch.Until([&] { return watch.parts_sent > 16 || watch.scopes.size() > 1; });
--- a/tests/net/watch_test.cpp
+++ b/tests/net/watch_test.cpp
@@ -177,8 +177,8 @@
 };
 
 constexpr std::chrono::milliseconds kMaxFirstPause{600};
-constexpr std::chrono::seconds kMaxUpdateDelay{
-    6};  // from when an update is available until it must be applied
+// From when an update is available until it must be applied.
+constexpr std::chrono::seconds kMaxUpdateDelay{6};
 
 TEST_CASE("reload: updates from the old discovery server after the change are ignored") {
   ChangeFixture stage;
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -141,7 +141,7 @@
 
 TEST_CASE("peers: a new process does not take over the name of a live one") {
   Record older = Of("me", 40, "c:1");
-  for (bool lives : {true, false}) {
+  for (bool alive : {true, false}) {
     TestMembership test({"b:1"});
     auto out = test.Step(1ms);
     REQUIRE(out.size() == 1);
@@ -151,7 +151,7 @@
     out = test.Step(10ms);
     REQUIRE(out.size() == 1);
     CHECK(out[0].to == "c:1");
-    if (lives) {
+    if (alive) {
       test.Receive(AckOf(older, out[0], 1));
       CHECK(test.membership.phase() == Membership::Phase::kRefused);
       CHECK(test.log.find("refused: the name me is in use by a live process at c:1") != std::string::npos);
