--- a/src/router/figures.cpp
+++ b/src/router/figures.cpp
@@ -19,7 +19,7 @@
 
 std::string Router::Failover() { return work_ ? work_->Describe() : "fail failover is off"; }
 
-std::string Router::Peers() { return peers_ ? peers_->Describe() : "fail peers are off"; }
+std::string Router::Peers() { return peers_ ? peers_->ToJson() : "fail peers are off"; }
 
 std::string Router::Figures() {
   std::string text;
@@ -38,7 +38,7 @@
   auto cached = [this](const auto& one) {
     return !running_.settings.cache_aside || one.second.entry.kind != running_.settings.origin_kind;
   };
-  add("targets", static_cast<std::uint64_t>(std::ranges::count_if(discovery_watch_.held(), cached)));
+  add("targets", static_cast<std::uint64_t>(std::ranges::count_if(discovery_watch_.servers(), cached)));
   add("targets_disabled", decision_.balancer().unavailable());
   auto part = [&add](const std::string& prefix, auto& of) {
     if (!of) return;
--- a/tests/rations/parts_test.cpp
+++ b/tests/rations/parts_test.cpp
@@ -206,7 +206,7 @@
 }
 
 // Random requests and partial grants: no bucket may admit more than was granted plus CreditLimit.
-TEST_CASE("credit ledger: each bucket pays its own debt, which never exceeds AheadOf") {
+TEST_CASE("credit ledger: each bucket pays its own debt, which never exceeds the credit limit") {
   LedgerFixture at({MakeQuota({60, 100}), MakeQuota({1000, 1000}, 0, kPerClient)});
   std::map<Bucket, std::uint64_t> paid, admitted;
   for (int turn = 0; turn < 400; ++turn) {
