--- a/src/router/overload_office.cpp
+++ b/src/router/overload_office.cpp
@@ -273,7 +273,8 @@
 
 // Not dialled by all at one moment, nor given its whole load before discovery may have said that it is cold.
 void OverloadOffice::IsBack(const std::string& member, const std::string& which, overload::Duration out) {
-  if (!returns_.Schedule(peers::Peers::Now(), member, which, out, peers_.PresentRouters())) return BringBack(member);
+  if (!returns_.Schedule(peers::Peers::Now(), member, which, out, peers_.PresentRouters()))
+    return BringBack(member);
   ++held_;
 }
 
