--- a/src/compat/wire.cpp
+++ b/src/compat/wire.cpp
@@ -12,9 +12,9 @@
 using net::kUnbounded;
 using nlohmann::json;
 
-constexpr int kNested = 4;
-constexpr std::uint64_t kForm = 1;
-constexpr std::size_t kMostName = 64, kMostNames = 64, kMostValue = 256u << 10;
+constexpr int kMaxNesting = 4;
+constexpr std::uint64_t kFormat = 1;
+constexpr std::size_t kMaxNameBytes = 64, kMaxNames = 64, kMaxValueBytes = 256u << 10;
 
 json ToJson(const Ballot& ballot) {
   return json::array(
@@ -24,7 +24,7 @@
   if (from == nullptr) return false;
   FieldReader fields(*from);
   return fields.Number(ballot.round, kUnbounded)
-      .Text(ballot.proposer.name, kMostName)
+      .Text(ballot.proposer.name, kMaxNameBytes)
       .Number(ballot.proposer.generation, kUnbounded)
       .Number(ballot.proposer.proposal, kUnbounded)
       .ok();
@@ -36,11 +36,11 @@
   return all;
 }
 bool Read(const json* from, std::map<std::string, std::uint64_t>& numbers) {
-  if (from == nullptr || !from->is_array() || from->size() > kMostNames) return false;
+  if (from == nullptr || !from->is_array() || from->size() > kMaxNames) return false;
   for (const json& one : *from) {
     std::string name;
     std::uint64_t number = 0;
-    if (!FieldReader(one).Text(name, kMostName).Number(number, kUnbounded).ok()) return false;
+    if (!FieldReader(one).Text(name, kMaxNameBytes).Number(number, kUnbounded).ok()) return false;
     numbers[name] = number;
   }
   return true;
@@ -48,52 +48,57 @@
 
 }  // namespace
 
-std::string Encode(std::uint64_t seats, const Say& say) {
-  std::string bytes(1, static_cast<char>(kLead));
-  json::to_msgpack(json::array({seats, static_cast<unsigned>(say.kind), say.number, say.print, say.at,
-                                say.total, ToJson(say.ballot), net::Blob(say.bytes)}),
-                   bytes);
+std::string Encode(std::uint64_t replicas, const Message& message) {
+  std::string bytes(1, static_cast<char>(kLeadByte));
+  json::to_msgpack(
+      json::array({replicas, static_cast<unsigned>(message.kind), message.bootstrap_id, message.fingerprint,
+                   message.offset, message.total_bytes, ToJson(message.ballot), net::Blob(message.bytes)}),
+      bytes);
   return bytes;
 }
 
-DecodeError Decode(std::string_view bytes, std::uint64_t seats, Say& say) {
-  if (bytes.empty() || static_cast<unsigned char>(bytes[0]) != kLead) return DecodeError::kMalformed;
-  json array = net::Unpack(bytes.substr(1), kNested);
+DecodeError Decode(std::string_view bytes, std::uint64_t replicas, Message& message) {
+  if (bytes.empty() || static_cast<unsigned char>(bytes[0]) != kLeadByte) return DecodeError::kMalformed;
+  json array = net::Unpack(bytes.substr(1), kMaxNesting);
   if (array.is_discarded()) return DecodeError::kMalformed;
   FieldReader fields(array);
-  std::uint64_t its_seats = 0;
-  fields.Number(its_seats, kUnbounded)
-      .Number(say.kind, static_cast<std::uint64_t>(SayKind::kBook))
-      .Number(say.number, kUnbounded)
-      .Number(say.print, kUnbounded)
-      .Number(say.at, kUnbounded)
-      .Number(say.total, kUnbounded);
-  if (!fields.ok() || !Read(fields.Next(), say.ballot) || !fields.Blob(say.bytes, kMostChunk).ok())
+  std::uint64_t sender_replicas = 0;
+  fields.Number(sender_replicas, kUnbounded)
+      .Number(message.kind, static_cast<std::uint64_t>(MessageKind::kConfigChunk))
+      .Number(message.bootstrap_id, kUnbounded)
+      .Number(message.fingerprint, kUnbounded)
+      .Number(message.offset, kUnbounded)
+      .Number(message.total_bytes, kUnbounded);
+  if (!fields.ok() || !Read(fields.Next(), message.ballot) ||
+      !fields.Blob(message.bytes, kMaxChunkBytes).ok())
     return DecodeError::kMalformed;
-  return its_seats == seats ? DecodeError::kNone : DecodeError::kReplicaSet;
+  return sender_replicas == replicas ? DecodeError::kNone : DecodeError::kReplicaSet;
 }
 
-std::string Memory::Bytes() const {
+std::string ReplicaState::Serialize() const {
   std::string bytes;
-  json::to_msgpack(json::array({kForm, sits, life, founding, ToJson(promised), ToJson(kept), version,
-                                net::Blob(value), ToJson(words), ToJson(foundings)}),
+  json::to_msgpack(json::array({kFormat, votes, generation, bootstrap_id, ToJson(promised), ToJson(accepted),
+                                version, net::Blob(value), ToJson(sync_generations), ToJson(bootstrap_ids)}),
                    bytes);
   return bytes;
 }
 
-std::optional<Memory> Memory::Read(std::string_view bytes) {
-  json array = net::Unpack(bytes, kNested);
+std::optional<ReplicaState> ReplicaState::Parse(std::string_view bytes) {
+  json array = net::Unpack(bytes, kMaxNesting);
   if (array.is_discarded()) return std::nullopt;
-  Memory read;
-  std::uint64_t form = 0;
+  ReplicaState read;
+  std::uint64_t format = 0;
   FieldReader fields(array);
-  fields.Number(form, kForm).Flag(read.sits).Number(read.life, kUnbounded).Number(read.founding, kUnbounded);
-  if (!fields.ok() || form != kForm || !compat::Read(fields.Next(), read.promised) ||
-      !compat::Read(fields.Next(), read.kept))
+  fields.Number(format, kFormat)
+      .Flag(read.votes)
+      .Number(read.generation, kUnbounded)
+      .Number(read.bootstrap_id, kUnbounded);
+  if (!fields.ok() || format != kFormat || !compat::Read(fields.Next(), read.promised) ||
+      !compat::Read(fields.Next(), read.accepted))
     return std::nullopt;
-  fields.Number(read.version, 0xffffffffu).Blob(read.value, kMostValue);
-  if (!fields.ok() || !compat::Read(fields.Next(), read.words) ||
-      !compat::Read(fields.Next(), read.foundings))
+  fields.Number(read.version, 0xffffffffu).Blob(read.value, kMaxValueBytes);
+  if (!fields.ok() || !compat::Read(fields.Next(), read.sync_generations) ||
+      !compat::Read(fields.Next(), read.bootstrap_ids))
     return std::nullopt;
   return read;
 }
--- a/src/compat/wire.h
+++ b/src/compat/wire.h
@@ -1,5 +1,5 @@
-// What routers say to each other about what is published, and what a seat may not forget, as bytes: one byte
-// that begins no other cargo, then MessagePack.
+// Serialization of the registry messages between routers and of a replica's persistent state. A message is
+// one lead byte, which no other kind of payload starts with, followed by MessagePack.
 #pragma once
 
 #include <cstdint>
@@ -13,50 +13,51 @@
 
 namespace peatbend::compat {
 
-constexpr unsigned char kLead = 3;  // as MessagePack a number, where others have an array
-constexpr std::size_t kMostChunk = 512u << 10;
-
-enum class SayKind : std::uint8_t {
-  kRegister,      // bytes: failover's message, to a seat or from one
-  kAskFound,      // number: the asker's founding
-  kFound,         // the same number: this seat knows of no other founding of the asker's
-  kNotFound,      // it does
-  kNews,          // ballot, print: what stands, as far as is known
-  kAskCatalogue,  // ...
-  kCatalogue,     // ballot, bytes: the same, whole
-  kAskBook,       // print: of a book; at: from that byte on
-  kBook           // print, at, total, bytes: a piece of its text
+constexpr unsigned char kLeadByte = 3;  // in MessagePack a number, where other payloads start with an array
+constexpr std::size_t kMaxChunkBytes = 512u << 10;
+
+enum class MessageKind : std::uint8_t {
+  kRecord,             // bytes: a failover::Message, to a replica or from one
+  kBootstrapRequest,   // bootstrap_id: the sender's
+  kBootstrapAgreed,    // the same id: this replica knows of no other bootstrap of the requester
+  kBootstrapRejected,  // the same id: it does
+  kAnnounce,           // ballot, fingerprint: of the last known state
+  kStateRequest,       // no fields
+  kState,              // ballot, bytes: the last known state
+  kConfigRequest,      // fingerprint: of a quota configuration; offset: of the first byte wanted
+  kConfigChunk         // fingerprint, offset, total_bytes, bytes: a part of its text
 };
 
-struct Say {
-  SayKind kind = SayKind::kRegister;
-  std::uint64_t number = 0, print = 0, at = 0, total = 0;
+struct Message {
+  MessageKind kind = MessageKind::kRecord;
+  std::uint64_t bootstrap_id = 0, fingerprint = 0, offset = 0, total_bytes = 0;
   failover::Ballot ballot;
   std::string bytes;
 };
 
-// `seats`: failover::ReplicaSet::fingerprint() of the sender; who reckons with other seats is not listened
-// to.
-std::string Encode(std::uint64_t seats, const Say& say);
+// `replicas`: failover::ReplicaSet::fingerprint() of the sender. Messages of a sender with another replica
+// set are rejected.
+std::string Encode(std::uint64_t replicas, const Message& message);
 using net::DecodeError;
-// Reads what a stranger may have written. Never throws.
-DecodeError Decode(std::string_view bytes, std::uint64_t seats, Say& say);
-
-// What a seat has promised and accepted; what it has told others that start anew. A seat that is started with
-// all of it again has forgotten nothing.
-struct Memory {
-  bool sits = false;           // it votes
-  std::uint64_t life = 0;      // of its last start
-  std::uint64_t founding = 0;  // its own, as it was told to the others; 0: none
-  failover::Ballot promised, kept;
-  std::uint32_t version = 0;  // 0: nothing is kept
+// Accepts arbitrary input. Never throws.
+DecodeError Decode(std::string_view bytes, std::uint64_t replicas, Message& message);
+
+// A replica's persistent state: what it has promised and accepted, and the restarted replicas that it has
+// answered. A replica restarted with all of it has forgotten nothing.
+struct ReplicaState {
+  bool votes = false;
+  std::uint64_t generation = 0;    // of its last start
+  std::uint64_t bootstrap_id = 0;  // its own, as sent to the others; 0: none
+  failover::Ballot promised, accepted;
+  std::uint32_t version = 0;  // 0: no value has been accepted
   std::string value;
-  std::map<std::string, std::uint64_t> words;      // lives of those that asked for this one's word
-  std::map<std::string, std::uint64_t> foundings;  // of others, that this one knows of
-  bool operator==(const Memory&) const = default;
+  std::map<std::string, std::uint64_t> sync_generations;  // of the routers that have requested a sync
+  std::map<std::string, std::uint64_t> bootstrap_ids;     // of others, as known to this one
+  bool operator==(const ReplicaState&) const = default;
 
-  std::string Bytes() const;
-  static std::optional<Memory> Read(std::string_view bytes);
+  std::string Serialize() const;
+  // Nothing if the bytes are of another format or damaged.
+  static std::optional<ReplicaState> Parse(std::string_view bytes);
 };
 
 }  // namespace peatbend::compat
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "base/tuning.h"
-#include "compat/covers.h"
+#include "compat/schema_check.h"
 #include "discovery/server_list.h"
 #include "peatbend/balancer.h"
 #include "rations/table.h"
@@ -70,7 +70,7 @@
     std::vector<std::string> seats;  // NAME/ZONE: routers that read signs for all, the first that is there
     bool operator==(const Overload&) const = default;
   } overload;
-  std::vector<compat::Covering> subjects;  // of payloads; empty: none is covered
+  std::vector<compat::SubjectConfig> subjects;  // of payloads; empty: none is covered
 };
 
 struct ConfigText {
--- a/src/config/subjects.cpp
+++ b/src/config/subjects.cpp
@@ -16,7 +16,7 @@
 namespace peatbend {
 namespace {
 
-using compat::Covering;
+using compat::SubjectConfig;
 using nlohmann::json;
 
 constexpr std::size_t kMostSubjects = 64, kMostSchemas = 4096, kMostBytes = 1u << 20, kLongestName = 128;
@@ -30,8 +30,8 @@
         settings_(settings),
         faults_(faults) {}
 
-  Covering Read() {
-    Covering of;
+  SubjectConfig Read() {
+    SubjectConfig of;
     of.subject = Plain("name", "a name");
     if (of.subject.empty()) Fault("name", "missing");
     if (of.subject == "rations") Fault("name", "is the subject of books of rations");
@@ -40,22 +40,25 @@
     of.tenants = Names("franchisees", settings_.tenants);
     if (own_.contains("franchisees") && of.tenants.empty())
       Fault("franchisees", "none named: leave it out for all");
-    of.version = Fact("version");
-    if (of.version.empty())
+    of.version_fact = Fact("version");
+    if (of.version_fact.empty())
       Fault("version", "the fact of a write that carries its payload's version expected");
-    of.reader = Fact("reader"), of.reads = Fact("reads"), of.statement = Fact("statement");
-    if (of.reader.empty() != of.reads.empty())
-      Fault(of.reader.empty() ? "reader" : "reads",
+    of.reader_fact = Fact("reader"), of.reader_version_fact = Fact("reads"),
+    of.registration_fact = Fact("statement");
+    if (of.reader_fact.empty() != of.reader_version_fact.empty())
+      Fault(of.reader_fact.empty() ? "reader" : "reads",
             "missing: who reads, and with which version, go together");
-    if (of.reader.empty() && !of.statement.empty()) Fault("statement", "needs reader and reads");
-    if (!of.reader.empty() &&
-        (of.reader == of.reads || of.reader == of.statement || of.reads == of.statement))
+    if (of.reader_fact.empty() && !of.registration_fact.empty()) Fault("statement", "needs reader and reads");
+    if (!of.reader_fact.empty() &&
+        (of.reader_fact == of.reader_version_fact || of.reader_fact == of.registration_fact ||
+         of.reader_version_fact == of.registration_fact))
       Fault("reader", "reader, reads and statement: facts of different names expected");
-    of.unstated = Word("unstated", {"serve", "reject"}) == 0;
-    if (of.reader.empty() && !of.unstated) Fault("unstated", "needs reader and reads");
-    of.policy.mode = static_cast<compat::Mode>(Word("mode", {"readers-read-new", "new-reads-old", "both"}));
-    of.policy.beside =
-        Word("beside", {"in-use", "last"}) == 0 ? compat::Beside::kInUse : compat::Beside::kLast;
+    of.allow_unnamed_readers = Word("unstated", {"serve", "reject"}) == 0;
+    if (of.reader_fact.empty() && !of.allow_unnamed_readers) Fault("unstated", "needs reader and reads");
+    of.policy.mode =
+        static_cast<compat::CompatibilityMode>(Word("mode", {"readers-read-new", "new-reads-old", "both"}));
+    of.policy.checked_against = Word("beside", {"in-use", "last"}) == 0 ? compat::CheckedAgainst::kInUse
+                                                                        : compat::CheckedAgainst::kLast;
     of.folder = Text("schemas");
     if (!of.folder.empty()) ReadFolder(of);
     ReadRetire(of);
@@ -114,7 +117,7 @@
   }
 
   // "READER STATEMENT WHY"
-  void ReadRetire(Covering& of) {
+  void ReadRetire(SubjectConfig& of) {
     auto at = own_.find("retire");
     if (at == own_.end()) return;
     if (!at->is_array()) return Fault("retire", "a list expected");
@@ -123,16 +126,16 @@
       std::string text = line.get<std::string>();
       std::string_view rest = text;
       one.reader = NextField(rest, ' ');
-      bool number = ParseNumber(NextField(rest, ' '), one.statement);
-      one.why = rest;
-      if (one.reader.empty() || !number || one.why.empty() || one.why.size() > kLongestName)
+      bool number = ParseNumber(NextField(rest, ' '), one.registration);
+      one.reason = rest;
+      if (one.reader.empty() || !number || one.reason.empty() || one.reason.size() > kLongestName)
         Fault("retire", fmt::format("\"READER STATEMENT WHY\" expected, not \"{}\"", text));
-      of.retire.push_back(std::move(one));
+      of.retirements.push_back(std::move(one));
     }
   }
 
   // 1.avsc, 2.avsc, ...: one after another, from any number on.
-  void ReadFolder(Covering& of) {
+  void ReadFolder(SubjectConfig& of) {
     std::map<std::uint32_t, std::filesystem::path> files;
     std::error_code error;
     std::filesystem::directory_iterator folder(of.folder, error);
@@ -147,10 +150,10 @@
       files[number] = entry.path();
     }
     if (files.empty()) return Fault("schemas", of.folder + ": no 1.avsc there");
-    of.first = files.begin()->first;
+    of.first_version = files.begin()->first;
     std::size_t bytes = 0;
     for (const auto& [number, path] : files) {
-      if (number != of.first + of.schemas.size())
+      if (number != of.first_version + of.schemas.size())
         return Fault("schemas", fmt::format("{}: no {}.avsc before it", path.string(), number - 1));
       std::ifstream file(path);
       std::string text(compat::Limits{}.bytes + 1, '\0');
@@ -173,9 +176,9 @@
 
 }  // namespace
 
-std::vector<Covering> ReadSubjects(const json& own, const Settings& settings) {
+std::vector<SubjectConfig> ReadSubjects(const json& own, const Settings& settings) {
   std::vector<std::string> faults;
-  std::vector<Covering> all;
+  std::vector<SubjectConfig> all;
   if (own.size() > kMostSubjects)
     throw ConfigError(fmt::format("publications.subjects: {} at most", kMostSubjects));
   for (std::size_t place = 0; place < own.size(); ++place)
@@ -183,7 +186,7 @@
   std::set<std::string> names;
   std::map<std::pair<int, int>, std::string> covered;  // by class and franchisee
   for (std::size_t place = 0; place < all.size(); ++place) {
-    const Covering& of = all[place];
+    const SubjectConfig& of = all[place];
     if (!names.insert(of.subject).second)
       faults.push_back(fmt::format("publications.subjects.{}.name: {} twice", place, of.subject));
     std::vector<int> tenants = of.tenants;
--- a/src/config/subjects.h
+++ b/src/config/subjects.h
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <vector>
 
-#include "compat/covers.h"
+#include "compat/schema_check.h"
 #include "peatbend/balancer.h"
 
 namespace peatbend {
@@ -17,6 +17,6 @@
                                              "mode",   "beside",  "schemas",     "retire"};
 
 // `own`: the list, as ConfigFile has it; null: none. Reads the folders. Throws ConfigError with every fault.
-std::vector<compat::Covering> ReadSubjects(const nlohmann::json& own, const Settings& settings);
+std::vector<compat::SubjectConfig> ReadSubjects(const nlohmann::json& own, const Settings& settings);
 
 }  // namespace peatbend
--- a/src/router/publication_office.cpp
+++ b/src/router/publication_office.cpp
@@ -48,7 +48,7 @@
   bool seat = std::ranges::any_of(seats_.all(), [this](const auto& one) { return one.router == self_; });
   if (folder_.empty() || !seat) {
     opened_ = true;
-    bureau_.Sit(now, std::nullopt);
+    bureau_.StartReplica(now, std::nullopt);
     // A start cannot tell whether it is the first: see Reload.
     if (found_ && seat)
       log_.Line("publications",
@@ -56,36 +56,36 @@
     return;
   }
   try {
-    store_ = std::make_unique<compat::Store>(folder_);
+    store_ = std::make_unique<compat::RecordFile>(folder_);
   } catch (const std::runtime_error& error) {
     return log_.Line("publications", fmt::format("no seat yet, tries again: {}", error.what()));
   }
   opened_ = true;
   try {
-    std::optional<compat::Memory> memory;
+    std::optional<compat::ReplicaState> memory;
     if (auto record = store_->Read()) {
-      memory = compat::Memory::Read(*record);
+      memory = compat::ReplicaState::Parse(*record);
       if (!memory)
-        throw compat::StoreDamaged(
+        throw compat::RecordFileCorrupted(
             folder_ + "/register: of another form; start the release that wrote it, or move it away");
     }
-    bureau_.Sit(now, memory);
-    if (found_) bureau_.Found(now);
-  } catch (const compat::StoreDamaged& damaged) {
+    bureau_.StartReplica(now, memory);
+    if (found_) bureau_.Bootstrap(now);
+  } catch (const compat::RecordFileCorrupted& damaged) {
     store_.reset();
     log_.Line("publications", fmt::format("no seat: {}", damaged.what()));
   }
 }
 
-void PublicationOffice::Bring(std::string label, compat::Change::Command command,
-                              std::function<void(const compat::Answer&)> then) {
-  bureau_.Bring(peers::Peers::Now(), std::move(label), std::move(command), std::move(then));
+void PublicationOffice::Submit(std::string label, compat::RegistryUpdate::Command command,
+                               std::function<void(const compat::UpdateResult&)> then) {
+  bureau_.Submit(peers::Peers::Now(), std::move(label), std::move(command), std::move(then));
   if (!flushing_ && peers_ != nullptr) tick_.Activate();
 }
 
 void PublicationOffice::Found(bool found) {
   if (peers_ == nullptr) return;
-  if (found && !found_) bureau_.Found(peers::Peers::Now());
+  if (found && !found_) bureau_.Bootstrap(peers::Peers::Now());
   found_ = found;
   tick_.Activate();
 }
@@ -111,13 +111,13 @@
 void PublicationOffice::AgreeBooks(const Config& config, Hold hold) {
   settings_ = config.settings;
   reads_ = config.rations.reads;
-  compat::Librarian::Calls calls;
-  calls.read = [this](const std::string& text, std::string& why) { return ReadBook(text, why); };
-  calls.hold = std::move(hold);
+  compat::ConfigRollout::Callbacks calls;
+  calls.parse = [this](const std::string& text, std::string& why) { return ReadBook(text, why); };
+  calls.activate = std::move(hold);
   calls.log = [this](const std::string& text) { log_.Line("rations", text); };
-  calls.send = [this](const std::string& to, const compat::Say& say) { Carry(to, say); };
+  calls.send = [this](const std::string& to, const compat::Message& say) { Carry(to, say); };
   calls.others = [this] { return peers_ != nullptr ? peers_->Others() : std::vector<std::string>(); };
-  librarian_.emplace(self_, reads_, compat::Librarian::Book{config.rations.text, config.rations.table},
+  librarian_.emplace(self_, reads_, compat::ConfigRollout::Config{config.rations.text, config.rations.table},
                      GenerateNonce(), *this, std::move(calls));
   tick_.Activate();
 }
@@ -125,18 +125,19 @@
 // ---- Messages and time ------------------------------------------------------------------------------------
 
 void PublicationOffice::Arrived(const std::string& from, const std::string& bytes) {
-  compat::Say say;
+  compat::Message say;
   compat::DecodeError error = compat::Decode(bytes, seats_.fingerprint(), say);
   if (error != compat::DecodeError::kNone) {
     ++dropped_;
     return log_.Line("publications dropped", fmt::format("what {} says {}", from, Text(error)));
   }
   failover::TimePoint now = peers::Peers::Now();
-  bool of_book = say.kind == compat::SayKind::kAskBook || say.kind == compat::SayKind::kBook;
+  bool of_book =
+      say.kind == compat::MessageKind::kConfigRequest || say.kind == compat::MessageKind::kConfigChunk;
   if (!of_book) {
-    bureau_.Take(now, from, say);
+    bureau_.Handle(now, from, say);
   } else if (librarian_) {
-    librarian_->Take(now, from, say);
+    librarian_->Handle(now, from, say);
   }
   Flush();
 }
@@ -144,12 +145,12 @@
 void PublicationOffice::Tick() {
   if (peers_ == nullptr) return;
   Open();
-  bureau_.SetLife(peers_->life());
+  bureau_.SetGeneration(peers_->life());
   bureau_.Tick(peers::Peers::Now());
   Flush();
 }
 
-void PublicationOffice::Carry(const std::string& to, const compat::Say& say) {
+void PublicationOffice::Carry(const std::string& to, const compat::Message& say) {
   std::string bytes = compat::Encode(seats_.fingerprint(), say);
   ++sent_;
   bytes_ += bytes.size();
@@ -159,13 +160,13 @@
 // Whether what the seat must not forget is kept, where it is to be.
 bool PublicationOffice::Save() {
   if (!bureau_.unsaved()) return true;
-  if (store_ != nullptr && !store_->Write(bureau_.memory().Bytes())) {
+  if (store_ != nullptr && !store_->Write(bureau_.replica_state().Serialize())) {
     ++not_saved_;
-    log_.Line("publications", "the seat answers nothing, since it cannot be kept: " + store_->why());
+    log_.Line("publications", "the seat answers nothing, since it cannot be kept: " + store_->error());
     return false;
   }
   if (store_ != nullptr) ++saved_;
-  bureau_.Saved();
+  bureau_.MarkSaved();
   return true;
 }
 
@@ -176,30 +177,31 @@
   for (bool more = true; more;) {
     more = false;
     bool kept = Save();
-    for (compat::Bureau::Out& out : bureau_.TakeOut()) {
+    for (compat::RegistryNode::Outgoing& out : bureau_.DrainOutgoing()) {
       if (!kept) continue;  // as if it had been lost on the way
       if (out.router != self_) {
-        Carry(out.router, out.say);
+        Carry(out.router, out.message);
         continue;
       }
-      bureau_.Take(now, self_, out.say);
+      bureau_.Handle(now, self_, out.message);
       more = true;
     }
-    for (compat::Bureau::Told& told : bureau_.TakeTold()) {
+    for (compat::RegistryNode::Completed& told : bureau_.DrainCompleted()) {
       if (!told.label.empty())
-        log_.Line("publications",
-                  fmt::format("{}: {}", told.label,
-                              told.answer.yes() ? "stands" : "refused: " + told.answer.objections[0].Text()));
-      told.then(told.answer);
+        log_.Line(
+            "publications",
+            fmt::format("{}: {}", told.label,
+                        told.result.ok() ? "stands" : "refused: " + told.result.incompatibilities[0].Text()));
+      told.callback(told.result);
       more = true;
     }
-    if (librarian_ && (heard_ != news() || now >= librarian_->Due())) {
-      heard_ = news();
+    if (librarian_ && (heard_ != revision() || now >= librarian_->Due())) {
+      heard_ = revision();
       librarian_->Step(now);
       more = true;
     }
   }
-  if (bureau_.barred() && !std::exchange(told_barred_, true))
+  if (bureau_.bootstrap_rejected() && !std::exchange(told_barred_, true))
     log_.Line("publications", "not founded again: another seat knows this one from before");
   if (bureau_.votes(now) && !std::exchange(told_votes_, true)) log_.Line("publications", "the seat votes");
   failover::TimePoint due = bureau_.Due();
@@ -212,19 +214,19 @@
 }
 
 std::vector<std::pair<std::string, std::uint64_t>> PublicationOffice::Figures() const {
-  const compat::Bureau::Figures& f = bureau_.figures();
+  const compat::RegistryNode::Metrics& f = bureau_.metrics();
   std::vector<std::pair<std::string, std::uint64_t>> all = {
-      {"news", bureau_.news()},
+      {"news", bureau_.revision()},
       {"subjects", bureau_.known().subjects().size()},
-      {"seated", bureau_.seated() ? 1u : 0u},
+      {"seated", bureau_.is_replica() ? 1u : 0u},
       {"votes", bureau_.votes(peers::Peers::Now()) ? 1u : 0u},
-      {"waiting", bureau_.waiting()},
-      {"changes", f.changes},
-      {"refused", f.refused},
-      {"goes", f.goes},
-      {"outrun", f.outrun},
-      {"fetched", f.fetched},
-      {"words", f.words},
+      {"waiting", bureau_.queued()},
+      {"changes", f.updates},
+      {"refused", f.rejected},
+      {"goes", f.ballots},
+      {"outrun", f.conflicts},
+      {"fetched", f.states_requested},
+      {"words", f.sync_requests},
       {"saved", saved_},
       {"not_saved", not_saved_},
       {"sent", sent_},
@@ -232,8 +234,8 @@
       {"unreached", unreached_},
       {"dropped", dropped_}};
   if (librarian_) {
-    all.emplace_back("book_accepted", librarian_->accepted());
-    all.emplace_back("book_holds", librarian_->holds());
+    all.emplace_back("book_accepted", librarian_->accepted_version());
+    all.emplace_back("book_holds", librarian_->active_version());
   }
   return all;
 }
--- a/src/router/publication_office.h
+++ b/src/router/publication_office.h
@@ -12,16 +12,16 @@
 
 #include "base/event_handles.h"
 #include "base/log.h"
-#include "compat/bureau.h"
-#include "compat/librarian.h"
-#include "compat/published.h"
-#include "compat/store.h"
+#include "compat/config_rollout.h"
+#include "compat/record_file.h"
+#include "compat/registry_client.h"
+#include "compat/registry_node.h"
 #include "config/config.h"
 #include "peers/peers.h"
 
 namespace peatbend::net {
 
-class PublicationOffice : public compat::Published {
+class PublicationOffice : public compat::RegistryClient {
  public:
   using Hold = std::function<void(std::shared_ptr<const rations::Table>)>;
 
@@ -29,10 +29,10 @@
   PublicationOffice(event_base* base, const Config& config, peers::Peers& peers, Log& log);
   ~PublicationOffice() override;
 
-  const compat::Catalogue& known() const override { return bureau_.known(); }
-  std::uint64_t news() const override { return bureau_.news(); }
-  void Bring(std::string label, compat::Change::Command command,
-             std::function<void(const compat::Answer&)> then) override;
+  const compat::RegistryState& known() const override { return bureau_.known(); }
+  std::uint64_t revision() const override { return bureau_.revision(); }
+  void Submit(std::string label, compat::RegistryUpdate::Command command,
+              std::function<void(const compat::UpdateResult&)> then) override;
 
   // Books of rations are agreed from now on: that of `config` is the first to be proposed; `hold` is told
   // which is in force.
@@ -47,14 +47,14 @@
   // The program's figures of it, names without a prefix.
   std::vector<std::pair<std::string, std::uint64_t>> Figures() const;
   // Why the last book was refused; empty: none was since one was accepted.
-  std::string Refused() const { return librarian_ ? librarian_->refused() : ""; }
+  std::string Refused() const { return librarian_ ? librarian_->rejection() : ""; }
 
  private:
   void Open();
   void Arrived(const std::string& from, const std::string& bytes);
   void Tick();
   void Flush();
-  void Carry(const std::string& to, const compat::Say& say);
+  void Carry(const std::string& to, const compat::Message& say);
   bool Save();
   std::shared_ptr<const rations::Table> ReadBook(const std::string& text, std::string& why) const;
 
@@ -65,10 +65,10 @@
   int reads_ = 0;
   bool found_, opened_ = false, told_barred_ = false, told_votes_ = false;
   failover::ReplicaSet seats_;
-  compat::Bureau bureau_;
-  std::unique_ptr<compat::Store> store_;
-  std::optional<compat::Librarian> librarian_;
-  std::uint64_t heard_ = 0;  // news that the librarian has seen
+  compat::RegistryNode bureau_;
+  std::unique_ptr<compat::RecordFile> store_;
+  std::optional<compat::ConfigRollout> librarian_;
+  std::uint64_t heard_ = 0;  // revision that librarian_ has seen
   bool flushing_ = false;
   std::uint64_t sent_ = 0, bytes_ = 0, unreached_ = 0, dropped_ = 0, saved_ = 0, not_saved_ = 0;
   Timer tick_;
--- a/src/router/schema_office.h
+++ b/src/router/schema_office.h
@@ -11,8 +11,8 @@
 
 #include "base/event_handles.h"
 #include "base/log.h"
-#include "compat/covers.h"
-#include "compat/published.h"
+#include "compat/registry_client.h"
+#include "compat/schema_check.h"
 #include "peatbend/balancer.h"
 #include "stage/payload_check.h"
 
@@ -22,13 +22,13 @@
  public:
   // `published` lives until Hush or the end of this; of what it was asked to bring it tells nothing after
   // that. `settings` and `log` outlive this.
-  SchemaOffice(event_base* base, const Settings& settings, std::vector<compat::Covering> subjects,
-               compat::Published& published, Log& log);
+  SchemaOffice(event_base* base, const Settings& settings, std::vector<compat::SubjectConfig> subjects,
+               compat::RegistryClient& published, Log& log);
 
   void Check(const Request& request, RequestEvent& event) override;
   // An operator's word: the schemas as a configuration that was read anew has them, also those that were
   // refused before. Whether the subjects are otherwise those of the start; else these stay.
-  bool Propose(const std::vector<compat::Covering>& subjects);
+  bool Propose(const std::vector<compat::SubjectConfig>& subjects);
   // Nothing can be brought from now on, and what is known stays.
   void Hush();
 
@@ -38,17 +38,17 @@
   std::vector<std::pair<std::string, std::string>> Refused() const;
 
  private:
-  using Word = compat::Covers::Word;
+  using Word = compat::SchemaCheck::CheckResult;
   void Refresh();
   void Bring();
-  void Answered(std::size_t place, const compat::Answer& answer);
-  void Join(int place, const compat::Statement& statement);
+  void Answered(std::size_t place, const compat::UpdateResult& answer);
+  void Join(int place, const compat::Registration& statement);
   void Reject(Word word, RequestEvent& event) const;
 
   const Settings& settings_;
-  compat::Published* published_;  // null: hushed
+  compat::RegistryClient* published_;  // null: hushed
   Log& log_;
-  compat::Covers covers_;
+  compat::SchemaCheck covers_;
   std::uint64_t news_ = 0;
   struct Proposal {
     bool waits = false;
--- a/tests/compat/judge_test.cpp
+++ b/tests/compat/judge_test.cpp
@@ -1,6 +1,5 @@
-// Two judges over the same pairs of schemas: this one and libavro. They need not agree, but where they do not
-// the reason must be one of those that docs/design/compat.md names, and taking that reason away must make
-// them agree.
+// Compares Resolve with libavro on the same pairs of schemas. They need not agree, but each disagreement must
+// have one of the reasons that docs/design/compat.md names, and removing that reason must make them agree.
 #include <avro.h>
 #include <doctest/doctest.h>
 #include <sys/wait.h>
@@ -32,21 +31,21 @@
   return AvroSchema(into);
 }
 
-enum Judged : char { kReads, kRefuses, kNoSchema, kDies };
+enum AvroVerdict : char { kReads, kRejects, kNoSchema, kCrashes };
 
-Judged AvroJudges(const json& writer, const json& reader) {
+AvroVerdict AskAvro(const json& writer, const json& reader) {
   AvroSchema w = Avro(writer), r = Avro(reader);
   if (!w || !r) return kNoSchema;
   avro_value_iface_t* resolved = avro_resolved_reader_new(w.get(), r.get());
   if (resolved != nullptr) avro_value_iface_decref(resolved);
-  return resolved != nullptr ? kReads : kRefuses;
+  return resolved != nullptr ? kReads : kRejects;
 }
 
-// In a process of its own: where libavro 1.11.1 should refuse the items of an array or the values of a map it
-// takes down its process.
-std::vector<Judged> AvroJudges(const std::vector<Pair>& pairs) {
-  std::vector<Judged> judged;
-  while (judged.size() < pairs.size()) {
+// Runs in a child process: libavro 1.11.1 crashes where it should reject the items of an array or the values
+// of a map.
+std::vector<AvroVerdict> AskAvro(const std::vector<Pair>& pairs) {
+  std::vector<AvroVerdict> verdicts;
+  while (verdicts.size() < pairs.size()) {
     int ends[2];
     REQUIRE(pipe(ends) == 0);
     pid_t child = fork();
@@ -54,22 +53,22 @@
     if (child == 0) {
       for (int each : {SIGSEGV, SIGABRT}) std::signal(each, SIG_DFL);
       if (std::freopen("/dev/null", "w", stderr) == nullptr) _exit(1);
-      for (std::size_t i = judged.size(); i < pairs.size(); ++i) {
-        Judged verdict = AvroJudges(pairs[i].first, pairs[i].second);
+      for (std::size_t i = verdicts.size(); i < pairs.size(); ++i) {
+        AvroVerdict verdict = AskAvro(pairs[i].first, pairs[i].second);
         if (write(ends[1], &verdict, 1) != 1) break;
       }
       _exit(0);
     }
     close(ends[1]);
-    for (Judged verdict; read(ends[0], &verdict, 1) == 1;) judged.push_back(verdict);
+    for (AvroVerdict verdict; read(ends[0], &verdict, 1) == 1;) verdicts.push_back(verdict);
     close(ends[0]);
     int status = 0;
     REQUIRE(waitpid(child, &status, 0) == child);
     bool whole = WIFEXITED(status) && WEXITSTATUS(status) == 0;
-    REQUIRE((whole ? judged.size() == pairs.size() : judged.size() < pairs.size()));
-    if (!whole) judged.push_back(kDies);
+    REQUIRE((whole ? verdicts.size() == pairs.size() : verdicts.size() < pairs.size()));
+    if (!whole) verdicts.push_back(kCrashes);
   }
-  return judged;
+  return verdicts;
 }
 
 std::optional<Schema> Ours(const json& schema) {
@@ -78,12 +77,12 @@
   return std::get<Schema>(std::move(parsed));
 }
 
-bool WeRead(const json& writer, const json& reader) {
+bool IsReadable(const json& writer, const json& reader) {
   auto w = Ours(writer), r = Ours(reader);
   return w && r && Resolve(*w, *r).empty();
 }
 
-// Without what libavro does not know.
+// Removes a key that libavro does not support.
 json Without(json schema, const char* key, bool fields) {
   EachType(schema, [&](json& type) {
     if (!type.is_object()) return;
@@ -107,8 +106,8 @@
   EachType(schema, EachBranchOnce);
   return schema;
 }
-// All fixed in one namespace, by name and size.
-json FixedTogether(const json& from) {
+// Moves all fixed types into one namespace, renamed by name and size.
+json FixedInOneNamespace(const json& from) {
   json schema = json::parse(Ours(from)->text());
   std::map<std::string, std::string> names;
   std::set<std::string> defined;
@@ -128,8 +127,8 @@
   return schema;
 }
 
-// Of two branches of a union that differ in their namespace alone, the other one first.
-json OtherFirst(json schema) {
+// Swaps two branches of a union that differ only in their namespace.
+json SwapNamesakes(json schema) {
   EachType(schema, [](json& type) {
     for (std::size_t i = 0; type.is_array() && i < type.size(); ++i) {
       for (std::size_t j = i + 1; j < type.size(); ++j) {
@@ -142,21 +141,21 @@
   return schema;
 }
 
-// Why the two differ: empty if nothing is known that explains it.
-std::string Reason(const json& writer, const json& reader, const std::vector<Difference>& found) {
-  if (found.empty()) {  // libavro refuses
+// Why the two disagree; empty if no known reason explains it.
+std::string ReasonOf(const json& writer, const json& reader, const std::vector<Difference>& found) {
+  if (found.empty()) {  // libavro rejects
     json defaults = Without(reader, "default", true), neither = Without(defaults, "aliases", true);
-    if (!WeRead(writer, defaults)) return "defaults";
-    if (!WeRead(writer, Without(reader, "aliases", true))) return "aliases";
-    if (!WeRead(writer, neither)) return "defaults and aliases";
-    json w = FixedTogether(writer), r = FixedTogether(reader), s = BytesAsStrings(writer),
+    if (!IsReadable(writer, defaults)) return "defaults";
+    if (!IsReadable(writer, Without(reader, "aliases", true))) return "aliases";
+    if (!IsReadable(writer, neither)) return "defaults and aliases";
+    json w = FixedInOneNamespace(writer), r = FixedInOneNamespace(reader), s = BytesAsStrings(writer),
          t = BytesAsStrings(reader);
-    auto judged = AvroJudges({{w, r}, {s, t}, {BytesAsStrings(w), BytesAsStrings(r)}});
-    if (judged[0] == kReads) return "fixed in another namespace";
-    if (judged[1] == kReads) return "bytes and strings";
-    return judged[2] == kReads ? "bytes and strings, fixed in another namespace" : "";
+    auto verdicts = AskAvro({{w, r}, {s, t}, {BytesAsStrings(w), BytesAsStrings(r)}});
+    if (verdicts[0] == kReads) return "fixed in another namespace";
+    if (verdicts[1] == kReads) return "bytes and strings";
+    return verdicts[2] == kReads ? "bytes and strings, fixed in another namespace" : "";
   }
-  if (WeRead(writer, OtherFirst(reader))) return "the first branch that matches";
+  if (IsReadable(writer, SwapNamesakes(reader))) return "the first branch that matches";
   bool branches = false, symbols = false;
   for (const Difference& each : found) {
     if (each.path.find('<') != std::string::npos)
@@ -169,34 +168,34 @@
   return branches && symbols ? "writer's branches, symbols" : branches ? "writer's branches" : "symbols";
 }
 
-TEST_CASE("libavro judges as we do, or the reason is known") {
+TEST_CASE("libavro agrees with us, or the reason is known") {
   std::uint64_t pairs = 4000, seed = 1;
   if (const char* more = std::getenv("PEATBEND_LONG")) pairs = std::strtoull(more, nullptr, 10);
   if (const char* other = std::getenv("PEATBEND_SEED")) seed = std::strtoull(other, nullptr, 10);
   std::map<std::string, std::uint64_t> counts;
-  Maker maker(seed, 7);
+  SchemaGenerator generator(seed, 7);
   std::vector<Pair> chunk;
   for (std::uint64_t done = 0; done < pairs; done += chunk.size()) {
     chunk.clear();
     while (chunk.size() < 1000) {
-      json from = maker.Make();
-      json to = maker.Below(20) == 0 ? maker.Make() : maker.Change(from, maker.Below(4));
-      if (maker.Below(2) == 0) std::swap(from, to);
-      if (maker.Below(2) == 0) from = maker.Narrow(from);  // so that both ask for the same
+      json from = generator.Make();
+      json to = generator.Below(20) == 0 ? generator.Make() : generator.Mutate(from, generator.Below(4));
+      if (generator.Below(2) == 0) std::swap(from, to);
+      if (generator.Below(2) == 0) from = generator.Narrow(from);  // so that both answer the same question
       if (Ours(from) && Ours(to)) chunk.emplace_back(std::move(from), std::move(to));
     }
-    std::vector<Judged> judged = AvroJudges(chunk);
+    std::vector<AvroVerdict> verdicts = AskAvro(chunk);
     for (std::size_t i = 0; i < chunk.size(); ++i) {
       const auto& [writer, reader] = chunk[i];
       auto found = Resolve(*Ours(writer), *Ours(reader));
-      bool reads = judged[i] == kReads, agree = judged[i] != kNoSchema && reads == found.empty();
-      std::string reason = agree ? "" : Reason(writer, reader, found);
-      ++counts[(reads                ? "libavro reads"
-                : judged[i] == kDies ? "libavro dies"
-                                     : "libavro refuses") +
+      bool reads = verdicts[i] == kReads, agree = verdicts[i] != kNoSchema && reads == found.empty();
+      std::string reason = agree ? "" : ReasonOf(writer, reader, found);
+      ++counts[(reads                     ? "libavro reads"
+                : verdicts[i] == kCrashes ? "libavro dies"
+                                          : "libavro refuses") +
                (agree ? ", as we do" : ": " + reason)];
-      CHECK_MESSAGE((agree || (!reason.empty() && judged[i] != kNoSchema)), "writer ", writer.dump(),
-                    "\nreader ", reader.dump(), "\nlibavro: ", static_cast<int>(judged[i]),
+      CHECK_MESSAGE((agree || (!reason.empty() && verdicts[i] != kNoSchema)), "writer ", writer.dump(),
+                    "\nreader ", reader.dump(), "\nlibavro: ", static_cast<int>(verdicts[i]),
                     "\nhere: ", found.empty() ? "reads" : found[0].path + " " + found[0].what);
     }
   }
--- a/tests/compat/store_test.cpp
+++ b/tests/compat/record_file_test.cpp
@@ -1,5 +1,5 @@
-// What a seat keeps on a disk: replaced whole, and refused where it has been damaged.
-#include "compat/store.h"
+// The file of a replica's state: replaced atomically, and rejected if it is damaged.
+#include "compat/record_file.h"
 
 #include <doctest/doctest.h>
 #include <unistd.h>
@@ -26,52 +26,53 @@
       (std::filesystem::temp_directory_path() / ("peatbend-store-" + std::to_string(getpid()))).string();
 };
 
-TEST_CASE("a record is read again as it was written last, and a write under way is passed over") {
+TEST_CASE("the last complete write is read, and an interrupted one is ignored") {
   Folder folder;
   std::string large(200'000, '\0');
   {
-    Store store(folder.path);
-    CHECK_FALSE(store.Read());
-    CHECK(store.Write("one"));
-    CHECK(store.Write(large));
-    CHECK_THROWS_AS(Store{folder.path}, std::runtime_error);
+    RecordFile file(folder.path);
+    CHECK_FALSE(file.Read());
+    CHECK(file.Write("one"));
+    CHECK(file.Write(large));
+    CHECK_THROWS_AS(RecordFile{folder.path}, std::runtime_error);
   }
   folder.Put("half of anoth", "register.new");
-  Store store(folder.path);
-  CHECK(store.Read() == large);
+  RecordFile file(folder.path);
+  CHECK(file.Read() == large);
   CHECK_FALSE(std::filesystem::exists(folder.path + "/register.new"));
-  CHECK(store.Write(""));
-  CHECK(store.Read() == "");
+  CHECK(file.Write(""));
+  CHECK(file.Read() == "");
 }
 
-TEST_CASE("bytes behind the record are cut; any other change of any byte is refused with the file's name") {
+TEST_CASE(
+    "bytes after the record are truncated; any other change of a byte is rejected with the file's name") {
   Folder folder;
-  Store store(folder.path);
-  REQUIRE(store.Write("what was promised"));
+  RecordFile file(folder.path);
+  REQUIRE(file.Write("what was promised"));
   std::string whole = folder.Bytes();
   folder.Put(whole + "torn");
-  CHECK(store.Read() == "what was promised");
+  CHECK(file.Read() == "what was promised");
   CHECK(folder.Bytes() == whole);
   for (std::size_t at = 0; at < whole.size(); ++at) {
     std::string other = whole;
     other[at] = static_cast<char>(other[at] ^ 1);
     folder.Put(other);
     CAPTURE(at);
-    CHECK_THROWS_WITH_AS(store.Read(), doctest::Contains((folder.File() + ": ").c_str()), StoreDamaged);
+    CHECK_THROWS_WITH_AS(file.Read(), doctest::Contains((folder.File() + ": ").c_str()), RecordFileCorrupted);
     folder.Put(whole.substr(0, at));
-    CHECK_THROWS_WITH_AS(store.Read(), doctest::Contains("move it away"), StoreDamaged);
+    CHECK_THROWS_WITH_AS(file.Read(), doctest::Contains("move it away"), RecordFileCorrupted);
   }
 }
 
-TEST_CASE("a record that cannot be written leaves the former, and says why") {
+TEST_CASE("a failed write leaves the former record, and its error is available") {
   Folder folder;
-  Store store(folder.path);
-  REQUIRE(store.Write("one"));
+  RecordFile file(folder.path);
+  REQUIRE(file.Write("one"));
   std::filesystem::create_directory(folder.path + "/register.new");
-  CHECK_FALSE(store.Write("two"));
-  CHECK(store.why().find("register.new") != std::string::npos);
+  CHECK_FALSE(file.Write("two"));
+  CHECK(file.error().find("register.new") != std::string::npos);
   std::filesystem::remove(folder.path + "/register.new");
-  CHECK(store.Read() == "one");
+  CHECK(file.Read() == "one");
 }
 
 }  // namespace
--- a/tests/compat/records.h
+++ b/tests/compat/records.h
@@ -1,4 +1,4 @@
-// Three schemas of one record, as publishers change it.
+// Three schemas of one record, as its publishers evolve it.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 inline std::string Record(const std::string& fields) {
   return R"({"type":"record","name":"R","fields":[)" + fields + "]}";
 }
-// A reader of kOld needs `a`; kNew gives it, and has a default for it; kWithout lacks it.
+// A reader with kOld requires `a`; kNew has it, with a default; kWithout lacks it.
 inline const std::string kOld = Record(R"({"name":"a","type":"int"})");
 inline const std::string kNew =
     Record(R"({"name":"a","type":"int","default":0},{"name":"b","type":"int","default":0})");
--- a/tests/compat/schema_test.cpp
+++ b/tests/compat/schema_test.cpp
@@ -1,4 +1,4 @@
-// What is a schema, which are equal, and what can be read with what.
+// Which texts are schemas, which schemas are equal, and which can read data of which.
 #include <doctest/doctest.h>
 
 #include "compat/resolve.h"
@@ -6,20 +6,20 @@
 namespace peatbend::compat {
 namespace {
 
-Schema Of(const std::string& text) {
+Schema ParseValid(const std::string& text) {
   auto parsed = Schema::Parse(text);
   if (const Error* error = std::get_if<Error>(&parsed))
     FAIL(text << ": " << error->path << ": " << error->what);
   return std::get<Schema>(parsed);
 }
-std::string Refusal(const std::string& text, const Limits& limits = {}) {
+std::string ErrorOf(const std::string& text, const Limits& limits = {}) {
   auto parsed = Schema::Parse(text, limits);
   const Error* error = std::get_if<Error>(&parsed);
   return error == nullptr ? "read" : error->path + ": " + error->what;
 }
-std::string Verdict(const std::string& writer, const std::string& reader) {
+std::string DifferencesOf(const std::string& writer, const std::string& reader) {
   std::string all;
-  for (const Difference& each : Resolve(Of(writer), Of(reader)))
+  for (const Difference& each : Resolve(ParseValid(writer), ParseValid(reader)))
     all += (all.empty() ? "" : "; ") + each.path + " " + kRuleNames[static_cast<int>(each.rule)];
   return all;
 }
@@ -27,8 +27,8 @@
   return R"({"type":"record","name":")" + name + R"(","fields":[)" + fields + "]}";
 }
 
-TEST_CASE("what is no schema names its place") {
-  for (const auto& [text, refusal] : std::vector<std::pair<std::string, std::string>>{
+TEST_CASE("the error of an invalid schema names its path") {
+  for (const auto& [text, error] : std::vector<std::pair<std::string, std::string>>{
            {R"("int")", "read"},
            {"{", "$: no JSON at byte"},
            {R"({"type":"int","type":"long"})", "$: the key type stands twice"},
@@ -61,41 +61,42 @@
             "$[1].aliases: F stands for F too"},
        }) {
     CAPTURE(text);
-    CHECK(Refusal(text).substr(0, refusal.size()) == refusal);
+    CHECK(ErrorOf(text).substr(0, error.size()) == error);
   }
 }
 
 TEST_CASE("schemas are bounded in bytes, depth and names") {
-  CHECK(Refusal(R"("int")", {.bytes = 4}) == "$: more than 4 bytes");
+  CHECK(ErrorOf(R"("int")", {.bytes = 4}) == "$: more than 4 bytes");
   std::string deep = R"("int")";
   for (int i = 0; i < 31; ++i) deep = R"({"type":"array","items":)" + deep + "}";
-  CHECK(Refusal(deep) == "read");
-  CHECK(Refusal(deep, {.depth = 30}) == "$: nested too deep");
-  CHECK(Refusal(std::string(60'000, '[')) == "$: nested too deep");
-  CHECK(Refusal(R"({"type":"enum","name":"E","symbols":["A","B","C"]})", {.names = 3}) ==
+  CHECK(ErrorOf(deep) == "read");
+  CHECK(ErrorOf(deep, {.depth = 30}) == "$: nested too deep");
+  CHECK(ErrorOf(std::string(60'000, '[')) == "$: nested too deep");
+  CHECK(ErrorOf(R"({"type":"enum","name":"E","symbols":["A","B","C"]})", {.names = 3}) ==
         "$.symbols[2]: more than 3 names");
 }
 
-TEST_CASE("equal schemas have one text, and it is read as itself") {
-  auto one = Of(R"({"type":"record","name":"R","namespace":"a.b","doc":"x","aliases":["Y","X"],"fields":[
+TEST_CASE("equal schemas have one canonical text, which parses as the same schema") {
+  auto one =
+      ParseValid(R"({"type":"record","name":"R","namespace":"a.b","doc":"x","aliases":["Y","X"],"fields":[
     {"name":"f","type":{"type":"fixed","name":"F","size":3,"logicalType":"decimal"}},
     {"name":"g","type":["double","F"],"default":1,"order":"ignore"},
     {"name":"h","type":{"type":"record","name":"N","namespace":"","fields":[{"name":"n","type":["null","N"]}]}}]})");
-  auto other = Of(R"({"fields":[{"type":{"type":"fixed","size":3,"name":"a.b.F"},"name":"f"},
+  auto other = ParseValid(R"({"fields":[{"type":{"type":"fixed","size":3,"name":"a.b.F"},"name":"f"},
     {"default":1.0,"name":"g","type":["double","a.b.F"]},
     {"name":"h","type":{"namespace":"","name":"N","type":"record","fields":[{"name":"n","type":["null","N"]}]}}],
     "name":"a.b.R","aliases":["a.b.X","a.b.Y"],"type":"record"})");
   CHECK(one == other);
   CHECK(one.fingerprint() == other.fingerprint());
-  CHECK(Of(one.text()) == one);
-  CHECK_FALSE(one == Of(R"("int")"));
+  CHECK(ParseValid(one.text()) == one);
+  CHECK_FALSE(one == ParseValid(R"("int")"));
   CHECK(one.text().find(R"({"name":"N","namespace":"","type":"record")") != std::string::npos);
 }
 
-TEST_CASE("what can be read with what") {
+TEST_CASE("resolution of a writer's and a reader's schema") {
   auto enumeration = [](const std::string& rest) { return R"({"type":"enum","name":"E",)" + rest + "}"; };
   std::string ab = Record(R"({"name":"a","type":"int"},{"name":"b","type":"string"})");
-  for (const auto& [writer, reader, verdict] : std::vector<std::array<std::string, 3>>{
+  for (const auto& [writer, reader, differences] : std::vector<std::array<std::string, 3>>{
            {R"("int")", R"("double")", ""},
            {R"("double")", R"("int")", "$ type"},
            {R"("bytes")", R"("string")", ""},
@@ -116,18 +117,18 @@
            {R"({"type":"fixed","name":"F","size":2})", R"({"type":"fixed","name":"F","size":3})", "$ size"},
            {R"({"type":"array","items":{"type":"map","values":"long"}})",
             R"({"type":"array","items":{"type":"map","values":"int"}})", "$[]{} type"},
-           // The first branch that matches is the one, also where a later one could be read.
+           // The first branch that matches is chosen, even if only a later one could be read.
            {Record(R"({"name":"a","type":"int"})", "b.R"),
             "[" + Record(R"({"name":"a","type":"string"})", "a.R") + "," +
                 Record(R"({"name":"a","type":"int"})", "b.R") + "]",
             "$>0.a type"},
-           // What contains itself is compared once.
+           // A recursive type is compared once.
            {Record(R"({"name":"n","type":["null","R"]},{"name":"v","type":"string"})"),
             Record(R"({"name":"n","type":["null","R"]},{"name":"v","type":"int"})"), "$.v type"},
        }) {
     CAPTURE(writer);
     CAPTURE(reader);
-    CHECK(Verdict(writer, reader) == verdict);
+    CHECK(DifferencesOf(writer, reader) == differences);
   }
 }
 
--- a/tests/compat/schemas.h
+++ b/tests/compat/schemas.h
@@ -1,4 +1,4 @@
-// Schemas by chance, and changes to them as publishers make them.
+// Random schemas, and random changes to them such as publishers make.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -12,23 +12,23 @@
 
 using nlohmann::json;
 
-// Calls `what` with each place where a type stands.
-template <typename What>
-void EachType(json& type, What what) {
-  what(type);
+// Calls `visit` with each type in the schema.
+template <typename Visit>
+void EachType(json& type, Visit visit) {
+  visit(type);
   if (type.is_array()) {
-    for (json& branch : type) EachType(branch, what);
+    for (json& branch : type) EachType(branch, visit);
   } else if (type.is_object()) {
     for (const char* key : {"items", "values"})
-      if (type.contains(key)) EachType(type[key], what);
+      if (type.contains(key)) EachType(type[key], visit);
     if (!type.contains("fields")) return;
-    for (json& field : type["fields"]) EachType(field["type"], what);
+    for (json& field : type["fields"]) EachType(field["type"], visit);
   }
 }
 
-class Maker {
+class SchemaGenerator {
  public:
-  Maker(std::uint64_t seed, std::uint64_t stream) : random_(seed, stream) {}
+  SchemaGenerator(std::uint64_t seed, std::uint64_t stream) : random_(seed, stream) {}
 
   json Make() {
     defined_.clear();
@@ -39,16 +39,16 @@
     }
     return schema;
   }
-  // Changes it in so many places; what comes of it need not be a schema.
-  json Change(json schema, std::uint32_t places) {
+  // Changes that many types in it; the result need not be a valid schema.
+  json Mutate(json schema, std::uint32_t places) {
     while (places-- > 0) {
       std::vector<json*> types;
       EachType(schema, [&](json& type) { types.push_back(&type); });
-      Change(*types[random_.Below(static_cast<std::uint32_t>(types.size()))]);
+      Mutate(*types[random_.Below(static_cast<std::uint32_t>(types.size()))]);
     }
     return schema;
   }
-  // Of each union one branch.
+  // Replaces each union by one of its branches.
   json Narrow(json schema) {
     EachType(schema, [&](json& type) {
       if (type.is_array()) type = json(type[Below(static_cast<std::uint32_t>(type.size()))]);
@@ -122,7 +122,7 @@
     if (name == "enum") field["default"] = "A";
   }
 
-  void Change(json& type) {
+  void Mutate(json& type) {
     if (random_.Chance(0.08)) {
       type = random_.Chance(0.5) ? json::array({"null", type}) : MakeType(1, true);
     } else if (type.is_string()) {
@@ -161,10 +161,10 @@
         type["symbols"].push_back(Pick<std::string>({"B", "C", "D", "E"}));
       if (random_.Chance(0.3)) type["default"] = "A";
     } else {
-      ChangeFields(type["fields"]);
+      MutateFields(type["fields"]);
     }
   }
-  void ChangeFields(json& fields) {
+  void MutateFields(json& fields) {
     auto size = static_cast<std::uint32_t>(fields.size());
     std::uint32_t kind = size == 0 ? 0 : Below(4);
     if (kind == 0) fields.push_back(MakeField(1));
--- a/tests/fuzz/schema_fuzz.cpp
+++ b/tests/fuzz/schema_fuzz.cpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-#include "compat/catalogue.h"
+#include "compat/registry_state.h"
 #include "compat/resolve.h"
 #include "compat/wire.h"
 
@@ -25,17 +25,18 @@
 
 std::string Sample(unsigned which) {
   if (which % 6 < 3) return std::string(kSamples[which % 6]);
-  if (which % 6 == 3) return Encode(7, {SayKind::kNews, which, 1, 2, 3, {4, {"ann", 5, 6}}, "text"});
+  if (which % 6 == 3) return Encode(7, {MessageKind::kAnnounce, which, 1, 2, 3, {4, {"ann", 5, 6}}, "text"});
   if (which % 6 == 4)
-    return Memory{true, 1, 2, {3, {"ann", 4, 5}}, {}, which, "v", {{"bob", 6}}, {{"eve", 7}}}.Bytes();
-  Catalogue it;
+    return ReplicaState{true, 1, 2, {3, {"ann", 4, 5}}, {}, which, "v", {{"bob", 6}}, {{"eve", 7}}}
+        .Serialize();
+  RegistryState it;
   it.Declare("s", {});
   it.Propose("s", 1, R"("int")");
   it.Propose("s", 2, R"(["int"])");
-  it.Join("s", "ann", which, {1, 2});
-  it.Join("s", "bob", 1, {2});
+  it.RegisterReader("s", "ann", which, {1, 2});
+  it.RegisterReader("s", "bob", 1, {2});
   it.Retire("s", "bob", 1, "eve", "gone");
-  return it.Bytes();
+  return it.Serialize();
 }
 
 void Holds(bool what) {
@@ -44,25 +45,25 @@
 
 }  // namespace
 
-extern "C" std::size_t LLVMFuzzerMutate(std::uint8_t* data, std::size_t size, std::size_t most);
+extern "C" std::size_t LLVMFuzzerMutate(std::uint8_t* data, std::size_t size, std::size_t max_size);
 
-extern "C" std::size_t LLVMFuzzerCustomMutator(std::uint8_t* data, std::size_t size, std::size_t most,
+extern "C" std::size_t LLVMFuzzerCustomMutator(std::uint8_t* data, std::size_t size, std::size_t max_size,
                                                unsigned seed) {
   if (seed % 8 == 0) {
     std::string sample = Sample(seed / 8);
-    size = std::min(sample.size(), most);
+    size = std::min(sample.size(), max_size);
     std::copy_n(sample.begin(), size, data);
   }
-  return LLVMFuzzerMutate(data, size, most);
+  return LLVMFuzzerMutate(data, size, max_size);
 }
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   std::string_view bytes(reinterpret_cast<const char*>(data), size);
-  if (auto catalogue = Catalogue::Read(bytes)) Holds(catalogue->Bytes() == bytes);
-  if (auto memory = Memory::Read(bytes)) Holds(Memory::Read(memory->Bytes()) == memory);
-  if (Say say, again; Decode(bytes, 7, say) == DecodeError::kNone)
-    Holds(Decode(Encode(7, say), 7, again) == DecodeError::kNone && again.bytes == say.bytes &&
-          again.ballot == say.ballot);
+  if (auto state = RegistryState::Parse(bytes)) Holds(state->Serialize() == bytes);
+  if (auto saved = ReplicaState::Parse(bytes)) Holds(ReplicaState::Parse(saved->Serialize()) == saved);
+  if (Message message, again; Decode(bytes, 7, message) == DecodeError::kNone)
+    Holds(Decode(Encode(7, message), 7, again) == DecodeError::kNone && again.bytes == message.bytes &&
+          again.ballot == message.ballot);
   auto writer = Schema::Parse(bytes.substr(0, bytes.find('\n')));
   auto reader = Schema::Parse(bytes.substr(std::min(size, bytes.find('\n'))));
   for (const auto* each : {&writer, &reader}) {
--- a/tests/net/config_test.cpp
+++ b/tests/net/config_test.cpp
@@ -260,10 +260,10 @@
                   folder + "\"\n");
   REQUIRE(all.size() == 1);
   CHECK(all[0].classes == std::vector<int>{0});
-  CHECK(all[0].policy ==
-        compat::Policy{compat::Carries::kSchemas, compat::Mode::kBoth, compat::Beside::kLast});
-  CHECK_FALSE(all[0].unstated);
-  CHECK(all[0].first == 2);
+  CHECK(all[0].policy == compat::Policy{compat::VersionKind::kSchemas, compat::CompatibilityMode::kFull,
+                                        compat::CheckedAgainst::kLast});
+  CHECK_FALSE(all[0].allow_unnamed_readers);
+  CHECK(all[0].first_version == 2);
   CHECK(all[0].schemas == std::vector<std::string>{"\"int\"", "\"long\""});
   for (const auto& [subjects, key] :
        {std::pair<std::string, std::string>{
--- a/tests/net/schema_office_test.cpp
+++ b/tests/net/schema_office_test.cpp
@@ -8,19 +8,20 @@
 namespace peatbend::net::test {
 namespace {
 
-using compat::Answer;
-using compat::Catalogue;
+using compat::RegistryState;
+using compat::UpdateResult;
 
 const char kOne[] = R"({"type":"record","name":"R","fields":[{"name":"a","type":"int"}]})";
 const char kTwo[] =
     R"({"type":"record","name":"R","fields":[{"name":"a","type":"int"},{"name":"b","type":"int","default":0}]})";
 const char kWithout[] = R"({"type":"record","name":"R","fields":[{"name":"b","type":"int","default":0}]})";
 
-class Register : public compat::Published {
+class Register : public compat::RegistryClient {
  public:
-  const Catalogue& known() const override { return known_; }
-  std::uint64_t news() const override { return news_; }
-  void Bring(std::string, compat::Change::Command command, std::function<void(const Answer&)> then) override {
+  const RegistryState& known() const override { return known_; }
+  std::uint64_t revision() const override { return news_; }
+  void Submit(std::string, compat::RegistryUpdate::Command command,
+              std::function<void(const UpdateResult&)> then) override {
     if (busy) return then({{{"", "", "busy", "", 0, {}}}});
     waiting_.emplace_back(std::move(command), std::move(then));
   }
@@ -29,7 +30,7 @@
     if (waiting_.empty()) return false;
     auto [command, then] = std::move(waiting_.front());
     waiting_.pop_front();
-    Answer answer = command(known_);
+    UpdateResult answer = command(known_);
     ++news_;
     then(answer);
     return true;
@@ -37,9 +38,9 @@
   bool busy = false;
 
  private:
-  Catalogue known_;
+  RegistryState known_;
   std::uint64_t news_ = 0;
-  std::deque<std::pair<compat::Change::Command, std::function<void(const Answer&)>>> waiting_;
+  std::deque<std::pair<compat::RegistryUpdate::Command, std::function<void(const UpdateResult&)>>> waiting_;
 };
 
 struct Fixture {
@@ -48,7 +49,7 @@
   Log log{"t", Tuning{}.log, clock};
   Settings settings;
   Register published;
-  compat::Covering of;
+  compat::SubjectConfig of;
   std::optional<SchemaOffice> office;
 
   Fixture() {
@@ -58,7 +59,7 @@
     settings.max_retry_after = std::chrono::seconds(5);
     of.subject = "audience";
     of.classes = {1};
-    of.version = "v", of.reader = "by", of.reads = "with";
+    of.version_fact = "v", of.reader_fact = "by", of.reader_version_fact = "with";
     of.folder = "set";
     of.schemas = {kOne, kTwo};
     office.emplace(base.get(), settings, std::vector{of}, published, log);
--- a/tests/orders/compat_test.cpp
+++ b/tests/orders/compat_test.cpp
@@ -1,112 +1,123 @@
-// Publishing, in all orders of what can happen, on the code that routers run.
+// Publishing of versions and registration of readers, on the routers' real code, in all interleavings of
+// events.
 #include <gtest/gtest.h>
 
 #include <chrono>
 #include <iostream>
 
-#include "orders/compat_town.h"
+#include "orders/compat_model.h"
 #include "orders/interleavings.h"
 
 namespace peatbend::orders {
 namespace {
 
-struct CompatFound {
-  std::size_t accepted = 0, joined = 0;
-  std::string broken, way;
+struct ExplorationResult {
+  std::size_t accepted = 0, registered = 0;
+  std::string violation, trace;
 };
 
-std::size_t Explore(const CompatTown& start, std::size_t most, std::uint64_t seed, CompatFound& found,
-                    FingerprintSet* distinct = nullptr) {
-  return ExploreModel(start, most, seed, found.broken, found.way,
-                      [&](const CompatTown& town, std::uint64_t print) {
-                        if (distinct != nullptr) distinct->Insert(print);
-                        found.accepted += town.accepted();
-                        found.joined += town.joined();
+std::size_t Explore(const CompatModel& start, std::size_t max_states, std::uint64_t seed,
+                    ExplorationResult& result, FingerprintSet* distinct = nullptr) {
+  return ExploreModel(start, max_states, seed, result.violation, result.trace,
+                      [&](const CompatModel& model, std::uint64_t fingerprint) {
+                        if (distinct != nullptr) distinct->Insert(fingerprint);
+                        result.accepted += model.accepted();
+                        result.registered += model.registered();
                       });
 }
 
 #if defined(__SANITIZE_ADDRESS__)
-constexpr std::size_t kMost = 4'000;
+constexpr std::size_t kMaxStates = 4'000;
 #else
-constexpr std::size_t kMost = 100'000;
+constexpr std::size_t kMaxStates = 100'000;
 #endif
 
-void HoldsIn(const std::string& name, const CompatSetup& setup) {
+void ExpectNoViolation(const std::string& name, const CompatSetup& setup) {
   auto from = std::chrono::steady_clock::now();
-  const CompatTown start(setup);
-  CompatFound found;
-  ExplorationSummary sample =
-      ExploreFromSeveralSeeds(kMost, [&](std::uint64_t seed, std::size_t most, FingerprintSet& distinct) {
-        std::size_t states = Explore(start, most, seed, found, &distinct);
-        return found.broken.empty() ? std::optional(states) : std::nullopt;
+  const CompatModel start(setup);
+  ExplorationResult result;
+  ExplorationSummary sample = ExploreFromSeveralSeeds(
+      kMaxStates, [&](std::uint64_t seed, std::size_t max_states, FingerprintSet& distinct) {
+        std::size_t states = Explore(start, max_states, seed, result, &distinct);
+        return result.violation.empty() ? std::optional(states) : std::nullopt;
       });
   std::chrono::duration<double> took = std::chrono::steady_clock::now() - from;
-  std::cout << name << ": " << sample.Text() << ", " << found.accepted << " with a version accepted, "
-            << found.joined << " with a reader joined, " << took.count() << " s" << std::endl;
-  EXPECT_EQ(found.broken, "") << found.way;
-  EXPECT_TRUE(sample.complete || sample.distinct > kMost / 2);
-  EXPECT_GT(found.accepted, 0u);
+  std::cout << name << ": " << sample.Text() << ", " << result.accepted << " with a version accepted, "
+            << result.registered << " with a reader registered, " << took.count() << " s" << std::endl;
+  EXPECT_EQ(result.violation, "") << result.trace;
+  EXPECT_TRUE(sample.complete || sample.distinct > kMaxStates / 2);
+  EXPECT_GT(result.accepted, 0u);
 }
 
-void IsCaught(CompatMutant mutant, CompatSetup setup, const std::string& rule) {
+void ExpectViolation(CompatMutant mutant, CompatSetup setup, const std::string& rule) {
 #if defined(__SANITIZE_ADDRESS__)
   GTEST_SKIP() << "the build without sanitizers looks for it";
 #endif
   setup.mutant = mutant;
-  CompatFound found;
-  std::size_t states = Explore(CompatTown(setup), 400'000, 0, found);
-  EXPECT_TRUE(found.broken.starts_with(rule))
-      << "found: " << found.broken << " in " << states << " states" << found.way;
+  ExplorationResult result;
+  std::size_t states = Explore(CompatModel(setup), 400'000, 0, result);
+  EXPECT_TRUE(result.violation.starts_with(rule))
+      << "found: " << result.violation << " in " << states << " states" << result.trace;
 }
 
-const std::vector<Role> kTwoPublish{Role::kPublisher, Role::kOtherPublisher};
-const std::vector<Role> kOneJoins{Role::kPublisher, Role::kReader};
+const std::vector<Role> kTwoPublishers{Role::kPublisher, Role::kOtherPublisher};
+const std::vector<Role> kPublisherAndReader{Role::kPublisher, Role::kReader};
 
-TEST(Compat, TwoPublish) { HoldsIn("two publish", {.roles = kTwoPublish}); }
-TEST(Compat, TwoPublishTwice) { HoldsIn("two publish, twice each", {.roles = kTwoPublish, .tries = 2}); }
-TEST(Compat, AReaderJoinsMeanwhile) { HoldsIn("one joins", {.roles = kOneJoins, .tries = 2}); }
-TEST(Compat, TwoPublishAndAReaderJoins) { HoldsIn("two publish, one joins", {}); }
-TEST(Compat, MessagesComeTwice) { HoldsIn("twice", {.twice = 2}); }
-TEST(Compat, ASeatStartsAnew) { HoldsIn("seat anew", {.restarts = 1}); }
-TEST(Compat, ASeatIsGivenTheOthersWord) {
-  HoldsIn("words", {.roles = kOneJoins, .tries = 2, .restarts = 1, .words = 1});
+TEST(Compat, TwoPublishers) { ExpectNoViolation("two publishers", {.roles = kTwoPublishers}); }
+TEST(Compat, TwoPublishersWithTwoBallots) {
+  ExpectNoViolation("two publishers, two ballots each", {.roles = kTwoPublishers, .ballots = 2});
 }
-TEST(Compat, AReaderIsRetiredAndAnotherJoins) {
-  HoldsIn("retired", {.roles = {Role::kOperator, Role::kPublisher, Role::kReader}, .ann = true});
+TEST(Compat, AReaderRegistersMeanwhile) {
+  ExpectNoViolation("one reader", {.roles = kPublisherAndReader, .ballots = 2});
+}
+TEST(Compat, TwoPublishersAndAReader) { ExpectNoViolation("two publishers, one reader", {}); }
+TEST(Compat, DuplicateMessages) { ExpectNoViolation("twice", {.duplicates = 2}); }
+TEST(Compat, AReplicaRestarts) { ExpectNoViolation("replica restart", {.restarts = 1}); }
+TEST(Compat, AReplicaSyncsAfterARestart) {
+  ExpectNoViolation("words", {.roles = kPublisherAndReader, .ballots = 2, .restarts = 1, .syncs = 1});
+}
+TEST(Compat, AReaderIsRetiredAndAnotherRegisters) {
+  ExpectNoViolation("retired",
+                    {.roles = {Role::kOperator, Role::kPublisher, Role::kReader}, .ann_registered = true});
 }
 
-TEST(Compat, TwoReadersJoin) {
-  HoldsIn("two join", {.roles = {Role::kPublisher, Role::kReader, Role::kOtherReader}});
+TEST(Compat, TwoReadersRegister) {
+  ExpectNoViolation("two readers", {.roles = {Role::kPublisher, Role::kReader, Role::kOtherReader}});
 }
-TEST(Compat, AReaderIsRetiredByAWordAboutAnOldStatement) {
-  HoldsIn("old word",
-          {.roles = {Role::kRejoiner, Role::kOperator, Role::kPublisher}, .ann = true, .tries = 2});
+TEST(Compat, ARetirementNamesAnOldRegistration) {
+  ExpectNoViolation("old registration",
+                    {.roles = {Role::kReregisteringReader, Role::kOperator, Role::kPublisher},
+                     .ann_registered = true,
+                     .ballots = 2});
 }
 
-const CompatSetup kSilent{.roles = {Role::kDetector, Role::kPublisher}, .ann = true, .tries = 2};
-TEST(Compat, AReaderThatIsSilentCounts) {
-  CompatFound found;
-  EXPECT_GT(Explore(CompatTown(kSilent), kMost, 0, found), 500u);
-  EXPECT_EQ(found.broken, "") << found.way;
-  EXPECT_EQ(found.accepted, 0u);
+const CompatSetup kSilent{.roles = {Role::kDetector, Role::kPublisher}, .ann_registered = true, .ballots = 2};
+TEST(Compat, ASilentReaderCounts) {
+  ExplorationResult result;
+  EXPECT_GT(Explore(CompatModel(kSilent), kMaxStates, 0, result), 500u);
+  EXPECT_EQ(result.violation, "") << result.trace;
+  EXPECT_EQ(result.accepted, 0u);
 }
 
-TEST(Compat, MutantSilenceIsRetirement) {
-  IsCaught(CompatMutant::kSilenceRetires, kSilent, "a reader that counts is lost: ann");
+TEST(Compat, MutantSilenceRetires) {
+  ExpectViolation(CompatMutant::kSilenceRetires, kSilent, "a registered reader is lost: ann");
 }
-TEST(Compat, MutantOneSeatIsTakenForTwo) {
-  IsCaught(CompatMutant::kOneSeat, {.roles = kTwoPublish}, "what was told accepted is lost");
+TEST(Compat, MutantOneReplicaIsAMajority) {
+  ExpectViolation(CompatMutant::kOneReplica, {.roles = kTwoPublishers},
+                  "a version reported as accepted is lost");
 }
-TEST(Compat, MutantAReaderIsToldBeforeItsJoiningStands) {
-  IsCaught(CompatMutant::kJoinUnwritten, {.roles = kOneJoins}, "a reader that counts is lost: bob");
+TEST(Compat, MutantARegistrationIsReportedEarly) {
+  ExpectViolation(CompatMutant::kReportsEarly, {.roles = kPublisherAndReader},
+                  "a registered reader is lost: bob");
 }
-TEST(Compat, MutantAWordRetiresWhoeverHasJoinedSince) {
-  IsCaught(CompatMutant::kRetiresWhoever, {.roles = {Role::kRejoiner, Role::kOperator}, .ann = true},
-           "a reader that counts is lost: ann");
+TEST(Compat, MutantARetirementAppliesToAnyRegistration) {
+  ExpectViolation(CompatMutant::kRetiresAnyRegistration,
+                  {.roles = {Role::kReregisteringReader, Role::kOperator}, .ann_registered = true},
+                  "a registered reader is lost: ann");
 }
-TEST(Compat, MutantASeatIsFoundedAgain) {
-  IsCaught(CompatMutant::kFoundAgain, {.roles = kTwoPublish, .restarts = 1},
-           "what was told accepted is lost");
+TEST(Compat, MutantAReplicaIsBootstrappedAgain) {
+  ExpectViolation(CompatMutant::kBootstrappedAgain, {.roles = kTwoPublishers, .restarts = 1},
+                  "a version reported as accepted is lost");
 }
 
 }  // namespace
