--- a/src/compat/config_rollout.cpp
+++ b/src/compat/config_rollout.cpp
@@ -135,7 +135,7 @@
   }
   reader_phase_ = ReaderPhase::kRejected;
   rejected_at_version_ = accepted_version();
-  callbacks_.log("this router may not read the books of its fleet: " + first.Text());
+  callbacks_.log("this router is rejected as a reader of the fleet's quota configurations: " + first.Text());
 }
 
 // ---- Publisher --------------------------------------------------------------------------------------------
@@ -143,7 +143,7 @@
 void ConfigRollout::OnProposalRejected(const std::string& what, std::uint64_t fingerprint,
                                        const UpdateResult& result) {
   rejected_fingerprint_ = fingerprint;
-  rejection_ = what + " refused";
+  rejection_ = what + " rejected";
   for (const Incompatibility& one : result.incompatibilities) {
     rejection_ += ": " + one.Text();
     for (const std::string& name : one.readers) {
@@ -152,7 +152,7 @@
                                   kReaderStatusNames[static_cast<int>(state->status)]);
     }
   }
-  callbacks_.log(rejection_ + "; the former holds");
+  callbacks_.log(rejection_ + "; the former one stays active");
 }
 
 void ConfigRollout::ProposeNext() {
@@ -171,7 +171,8 @@
   if (latest || former) {
     to_propose_.reset();
     if (former && !latest)
-      callbacks_.log(fmt::format("book {:016x} of the file was in force before; not proposed", fingerprint));
+      callbacks_.log(fmt::format("quota configuration {:016x} of the file was active before; not proposed",
+                                 fingerprint));
     return;
   }
   proposing_ = true;
@@ -185,7 +186,7 @@
         proposing_ = false;
         due_ = {};
         if (to_propose_ && to_propose_->table->print == fingerprint) to_propose_.reset();
-        std::string what = fmt::format("book {:016x} as version {}", fingerprint, version);
+        std::string what = fmt::format("quota configuration {:016x} as version {}", fingerprint, version);
         if (!result.ok()) return OnProposalRejected(what, fingerprint, result);
         rejection_.clear();
         rejected_fingerprint_ = 0;
@@ -202,7 +203,8 @@
   if (last.language > static_cast<std::uint32_t>(max_language_)) {
     if (std::exchange(unreadable_version_, version) != version)
       callbacks_.log(
-          fmt::format("book version {} is in language {}, which this router does not read; {:016x} stays",
+          fmt::format("quota configuration version {} needs language {}, which this router does not read; "
+                      "{:016x} stays active",
                       version, last.language, active_));
     return;
   }
@@ -218,7 +220,8 @@
   }
   wanted_ = 0;
   active_version_ = version;
-  callbacks_.log(fmt::format("book version {} ({:016x}) holds", version, last.fingerprint));
+  callbacks_.log(
+      fmt::format("quota configuration version {} ({:016x}) is active", version, last.fingerprint));
   if (std::exchange(active_, last.fingerprint) != last.fingerprint) callbacks_.activate(config->table);
 }
 
@@ -279,8 +282,9 @@
     AddRecent({std::move(text), std::move(table)});
     return ActivateAccepted(now);
   }
-  if (error.empty()) error = "under this router's settings it is another";
-  callbacks_.log(fmt::format("the text of book {:016x} from {} is of no use here: {}", wanted_, from, error));
+  if (error.empty()) error = "its fingerprint differs under this router's settings";
+  callbacks_.log(fmt::format("the text of quota configuration {:016x} from {} cannot be used: {}", wanted_,
+                             from, error));
   fetch_at_ = now + kFetchRetry;
 }
 
@@ -289,8 +293,8 @@
   const ReaderState* own = ReaderStateOf(self_);
   if (reader_phase_ == ReaderPhase::kRegistered && own != nullptr && own->status == ReaderStatus::kRetired &&
       own->registration >= registration_) {
-    callbacks_.log(
-        fmt::format("retired as a reader by {}: {}; joins anew", own->retired_by, own->retirement_reason));
+    callbacks_.log(fmt::format("retired as a reader by {}: {}; registers again", own->retired_by,
+                               own->retirement_reason));
     registration_ = own->registration + 1;
     reader_phase_ = ReaderPhase::kUnregistered;
   }
--- a/src/compat/defaults.cpp
+++ b/src/compat/defaults.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// In JSON bytes are characters up to U+00FF. Their number, or nothing.
-std::optional<std::size_t> Bytes(const std::string& text) {
+// The number of bytes in Avro's JSON encoding, one character up to U+00FF per byte; nothing if it is invalid.
+std::optional<std::size_t> ByteCount(const std::string& text) {
   std::size_t count = 0;
   for (unsigned char c : text) {
     if (c > 0xC3) return std::nullopt;
@@ -20,7 +20,7 @@
 }
 
 template <typename Number>
-bool Within(const json& value) {
+bool IsWithin(const json& value) {
   if (value.is_number_unsigned())
     return value.get<std::uint64_t>() <= static_cast<std::uint64_t>(std::numeric_limits<Number>::max());
   return value.is_number_integer() && value.get<std::int64_t>() >= std::numeric_limits<Number>::min();
@@ -28,86 +28,86 @@
 
 }  // namespace
 
-std::string Defaults::Fit(NodeId record, std::size_t field) {
-  Field& of = nodes_[record].fields[field];
-  return FitValue(of.type, *of.fallback);
+std::string DefaultChecker::Normalize(NodeId record, std::size_t field) {
+  Field& target = nodes_[record].fields[field];
+  return NormalizeValue(target.type, *target.default_value);
 }
 
-std::string Defaults::FitValue(NodeId type, json& value) {
+std::string DefaultChecker::NormalizeValue(NodeId type, json& value) {
   const Node& node = nodes_[type];
-  std::string no = "no " + std::string(kTypeNames[static_cast<int>(node.type)]) + ": " +
-                   value.dump(-1, ' ', true, json::error_handler_t::replace).substr(0, 80);
+  std::string mismatch = "no " + std::string(kTypeNames[static_cast<int>(node.type)]) + ": " +
+                         value.dump(-1, ' ', true, json::error_handler_t::replace).substr(0, 80);
   switch (node.type) {
     case Type::kNull:
-      return value.is_null() ? "" : no;
+      return value.is_null() ? "" : mismatch;
     case Type::kBoolean:
-      return value.is_boolean() ? "" : no;
+      return value.is_boolean() ? "" : mismatch;
     case Type::kInt:
-      return Within<std::int32_t>(value) ? "" : no;
+      return IsWithin<std::int32_t>(value) ? "" : mismatch;
     case Type::kLong:
-      return Within<std::int64_t>(value) ? "" : no;
+      return IsWithin<std::int64_t>(value) ? "" : mismatch;
     case Type::kFloat:
     case Type::kDouble:
-      if (!value.is_number()) return no;
+      if (!value.is_number()) return mismatch;
       value = value.get<double>();
       return "";
     case Type::kString:
-      return value.is_string() ? "" : no;
+      return value.is_string() ? "" : mismatch;
     case Type::kBytes:
-      return value.is_string() && Bytes(value.get<std::string>()) ? "" : no;
+      return value.is_string() && ByteCount(value.get<std::string>()) ? "" : mismatch;
     case Type::kFixed:
-      return value.is_string() && Bytes(value.get<std::string>()) == node.size ? "" : no;
+      return value.is_string() && ByteCount(value.get<std::string>()) == node.size ? "" : mismatch;
     case Type::kEnum:
-      return value.is_string() && std::ranges::count(node.symbols, value.get<std::string>()) ? "" : no;
+      return value.is_string() && std::ranges::count(node.symbols, value.get<std::string>()) ? "" : mismatch;
     case Type::kUnion:
-      return FitValue(node.parts[0], value);  // the first branch
+      return NormalizeValue(node.children[0], value);  // a union's default is of its first branch
     case Type::kArray:
     case Type::kMap:
-      if (!(node.type == Type::kArray ? value.is_array() : value.is_object())) return no;
+      if (!(node.type == Type::kArray ? value.is_array() : value.is_object())) return mismatch;
       for (json& each : value)
-        if (std::string why = FitValue(node.parts[0], each); !why.empty()) return why;
+        if (std::string error = NormalizeValue(node.children[0], each); !error.empty()) return error;
       return "";
     case Type::kRecord:
       break;
   }
-  if (!value.is_object()) return no;
-  json kept = json::object();
+  if (!value.is_object()) return mismatch;
+  json known_fields = json::object();
   for (const Field& field : node.fields) {
     auto given = value.find(field.name);
     if (given == value.end()) {
-      if (!field.fallback) return "no value for " + field.name + ", which has no default: " + no;
+      if (!field.default_value) return "no value for " + field.name + ", which has no default: " + mismatch;
       continue;
     }
-    if (std::string why = FitValue(field.type, *given); !why.empty()) return why;
-    kept[field.name] = std::move(*given);
+    if (std::string error = NormalizeValue(field.type, *given); !error.empty()) return error;
+    known_fields[field.name] = std::move(*given);
   }
-  value = std::move(kept);
+  value = std::move(known_fields);
   return "";
 }
 
-std::string Defaults::Ends(NodeId record, std::size_t field) {
-  auto [at, fresh] = marks_.try_emplace({record, field}, Mark::kOpen);
-  if (!fresh) return at->second == Mark::kDone ? "" : "a default that contains itself";
-  const Field& of = nodes_[record].fields[field];
-  std::string why = EndsIn(of.type, *of.fallback);
-  if (why.empty()) marks_[{record, field}] = Mark::kDone;
-  return why;
+std::string DefaultChecker::CheckFinite(NodeId record, std::size_t field) {
+  auto [at, inserted] = states_.try_emplace({record, field}, State::kInProgress);
+  if (!inserted) return at->second == State::kDone ? "" : "a default that contains itself";
+  const Field& target = nodes_[record].fields[field];
+  std::string error = CheckFiniteValue(target.type, *target.default_value);
+  if (error.empty()) states_[{record, field}] = State::kDone;
+  return error;
 }
 
-std::string Defaults::EndsIn(NodeId type, const json& value) {
+std::string DefaultChecker::CheckFiniteValue(NodeId type, const json& value) {
   const Node& node = nodes_[type];
-  if (node.type == Type::kUnion) return EndsIn(node.parts[0], value);
+  if (node.type == Type::kUnion) return CheckFiniteValue(node.children[0], value);
   if (node.type == Type::kArray || node.type == Type::kMap) {
     for (const json& each : value)
-      if (std::string why = EndsIn(node.parts[0], each); !why.empty()) return why;
+      if (std::string error = CheckFiniteValue(node.children[0], each); !error.empty()) return error;
   }
   if (node.type != Type::kRecord || !value.is_object()) return "";
   for (std::size_t i = 0; i < node.fields.size(); ++i) {
     auto given = value.find(node.fields[i].name);
-    std::string why = given != value.end()      ? EndsIn(node.fields[i].type, *given)
-                      : node.fields[i].fallback ? Ends(type, i)
-                                                : "";
-    if (!why.empty()) return why;
+    std::string error = given != value.end()           ? CheckFiniteValue(node.fields[i].type, *given)
+                        : node.fields[i].default_value ? CheckFinite(type, i)
+                                                       : "";
+    if (!error.empty()) return error;
   }
   return "";
 }
--- a/src/compat/defaults.h
+++ b/src/compat/defaults.h
@@ -1,4 +1,4 @@
-// Whether a field's default is a value of its type, and the one form of it.
+// Checks that the default of a field is a value of its type, and normalizes it.
 #pragma once
 
 #include <string>
@@ -8,23 +8,23 @@
 
 namespace peatbend::compat {
 
-class Defaults {
+class DefaultChecker {
  public:
-  explicit Defaults(std::vector<Node>& nodes) : nodes_(nodes) {}
-  // Brings the default of that field into its form: numbers as their type has them, and without what the type
-  // has no place for. Says why not, or nothing.
-  std::string Fit(NodeId record, std::size_t field);
-  // What a default leaves out has its own default, and so on: whether that comes to an end. All have been
-  // fit.
-  std::string Ends(NodeId record, std::size_t field);
+  explicit DefaultChecker(std::vector<Node>& nodes) : nodes_(nodes) {}
+  // Normalizes the default of that field: converts numbers to the field's type and removes keys that a record
+  // does not define. Returns an error, or an empty string.
+  std::string Normalize(NodeId record, std::size_t field);
+  // Checks that a default does not contain itself through the defaults of the fields that it leaves out. All
+  // defaults have been normalized. Returns an error, or an empty string.
+  std::string CheckFinite(NodeId record, std::size_t field);
 
  private:
-  std::string FitValue(NodeId type, nlohmann::json& value);
-  std::string EndsIn(NodeId type, const nlohmann::json& value);
+  std::string NormalizeValue(NodeId type, nlohmann::json& value);
+  std::string CheckFiniteValue(NodeId type, const nlohmann::json& value);
 
   std::vector<Node>& nodes_;
-  enum class Mark { kOpen, kDone };
-  std::map<std::pair<NodeId, std::size_t>, Mark> marks_;
+  enum class State { kInProgress, kDone };
+  std::map<std::pair<NodeId, std::size_t>, State> states_;
 };
 
 }  // namespace peatbend::compat
--- a/src/compat/resolve.h
+++ b/src/compat/resolve.h
@@ -1,5 +1,5 @@
-// Whether data that was written with one schema can be read with another, by the resolution rules of Avro
-// 1.11: for every value that the writer's schema allows, not only for some.
+// Schema resolution by the rules of Avro 1.11: whether data written with one schema can be read with another,
+// for every value that the writer's schema allows.
 #pragma once
 
 #include <string>
@@ -10,27 +10,28 @@
 namespace peatbend::compat {
 
 enum class Rule : std::uint8_t {
-  kType,     // types that neither are the same nor are promoted
-  kName,     // records, enums or fixed of different names
-  kDefault,  // a field that the writer lacks and that has no default
+  kType,     // types that differ and cannot be promoted
+  kName,     // records, enums or fixed with different names
+  kDefault,  // a field that the writer lacks, without a default
   kSymbol,   // a symbol that the reader lacks, without a default
-  kSize,     // fixed of different sizes
+  kSize,     // fixed with different sizes
   kBranch,   // no branch of the reader's union matches
-  kAlias,    // two fields of the writer that the reader takes for one
-  kWork      // too large to be compared
+  kAlias,    // two fields of the writer match one of the reader
+  kWork      // too many pairs of types to compare
 };
 constexpr const char* kRuleNames[] = {"type", "name", "default", "symbol", "size", "branch", "alias", "work"};
 
 struct Difference {
-  // From "$" by the reader's names: .field, [] items, {} values, <i> the i-th branch of the writer's union,
-  // >i the i-th branch of the reader's.
+  // From "$", with the reader's names: .field, [] items, {} values, <i> the i-th branch of the writer's
+  // union, >i the i-th branch of the reader's.
   std::string path;
   Rule rule;
   std::string what;
   auto operator<=>(const Difference&) const = default;
 };
 
-// Empty: readable. In an order that hangs on the two schemas alone. Pairs of types are compared once each.
+// Empty if the data is readable. The order depends on the two schemas alone. Each pair of types is compared
+// once, and the number of differences is limited.
 std::vector<Difference> Resolve(const Schema& writer, const Schema& reader);
 
 }  // namespace peatbend::compat
--- a/src/compat/schema.cpp
+++ b/src/compat/schema.cpp
@@ -29,8 +29,8 @@
   }
 }
 
-std::optional<Type> Primitive(std::string_view name) {
-  for (std::size_t i = 0; i < kPrimitives; ++i)
+std::optional<Type> PrimitiveType(std::string_view name) {
+  for (std::size_t i = 0; i < kPrimitiveTypes; ++i)
     if (name == kTypeNames[i]) return static_cast<Type>(i);
   return std::nullopt;
 }
@@ -40,8 +40,8 @@
   return dot == std::string::npos ? "" : name.substr(0, dot);
 }
 
-// Finds a key that stands twice in an object: readers differ in which of the two they take.
-class TwiceGuard : public net::DepthGuard {
+// Rejects an object with a duplicate key: parsers differ in which of the two values they use.
+class DuplicateKeyGuard : public net::DepthGuard {
  public:
   using DepthGuard::DepthGuard;
   bool start_object(std::size_t n) override {
@@ -49,46 +49,46 @@
     return DepthGuard::start_object(n);
   }
   bool key(string_t& key) override {
-    if (!keys_.back().insert(key).second) twice_ = key;
-    return twice_.empty();
+    if (!keys_.back().insert(key).second) duplicate_ = key;
+    return duplicate_.empty();
   }
   bool end_object() override {
     keys_.pop_back();
     return DepthGuard::end_object();
   }
   bool parse_error(std::size_t at, const std::string&, const nlohmann::detail::exception&) override {
-    bad_ = at;
+    error_at_ = at;
     return false;
   }
-  std::string Why() const {
-    if (!twice_.empty()) return "the key " + twice_ + " stands twice in an object";
-    return bad_ > 0 ? "no JSON at byte " + std::to_string(bad_) : "nested too deep";
+  std::string Message() const {
+    if (!duplicate_.empty()) return "the key " + duplicate_ + " stands twice in an object";
+    return error_at_ > 0 ? "no JSON at byte " + std::to_string(error_at_) : "nested too deep";
   }
 
  private:
   std::vector<std::set<std::string>> keys_;
-  std::string twice_;
-  std::size_t bad_ = 0;
+  std::string duplicate_;
+  std::size_t error_at_ = 0;
 };
 
 }  // namespace
 
-// Builds one schema; throws an Error, which Parse hands on.
-class Reader {
+// Builds one schema; throws an Error, which Schema::Parse returns.
+class SchemaParser {
  public:
-  explicit Reader(const Limits& limits) : limits_(limits) {}
+  explicit SchemaParser(const Limits& limits) : limits_(limits) {}
 
-  Schema Read(const json& text) {
-    schema_.root_ = Type_(text, "", "$");
+  Schema Build(const json& text) {
+    schema_.root_ = ParseType(text, "", "$");
     CheckAliases();
-    Defaults defaults(schema_.nodes_);
-    for (auto step : {&Defaults::Fit, &Defaults::Ends}) {
+    DefaultChecker defaults(schema_.nodes_);
+    for (auto step : {&DefaultChecker::Normalize, &DefaultChecker::CheckFinite}) {
       for (const auto& [id, i, path] : defaults_) {
-        std::string why = (defaults.*step)(id, i);
-        if (!why.empty()) throw Error{path + ".default", why};
+        std::string error = (defaults.*step)(id, i);
+        if (!error.empty()) throw Error{path + ".default", error};
       }
     }
-    schema_.text_ = Print(schema_.root_, "");
+    schema_.text_ = PrintNode(schema_.root_, "");
     schema_.fingerprint_ = XXH3_64bits(schema_.text_.data(), schema_.text_.size());
     return std::move(schema_);
   }
@@ -98,79 +98,88 @@
     schema_.nodes_.push_back(std::move(node));
     return static_cast<NodeId>(schema_.nodes_.size() - 1);
   }
-  void Count(const std::string& path) {
-    if (++names_ > limits_.names) throw Error{path, "more than " + std::to_string(limits_.names) + " names"};
+  void CountName(const std::string& path) {
+    if (++name_count_ > limits_.names)
+      throw Error{path, "more than " + std::to_string(limits_.names) + " names"};
   }
 
-  NodeId Type_(const json& text, const std::string& space, const std::string& path) {
-    if (text.is_string()) return Reference(text.get<std::string>(), space, path);
-    if (text.is_array()) return Union(text, space, path);
+  NodeId ParseType(const json& text, const std::string& enclosing_namespace, const std::string& path) {
+    if (text.is_string()) return ParseReference(text.get<std::string>(), enclosing_namespace, path);
+    if (text.is_array()) return ParseUnion(text, enclosing_namespace, path);
     if (!text.is_object()) throw Error{path, "neither a name, nor an object, nor a union"};
-    std::string type = Text(text, "type", path);
-    if (type == "record") return Record(text, space, path);
-    if (type == "enum") return Enum(text, space, path);
-    if (type == "fixed") return Fixed(text, space, path);
+    std::string type = RequiredString(text, "type", path);
+    if (type == "record") return ParseRecord(text, enclosing_namespace, path);
+    if (type == "enum") return ParseEnum(text, enclosing_namespace, path);
+    if (type == "fixed") return ParseFixed(text, enclosing_namespace, path);
     if (type == "array" || type == "map") {
       const char* key = type == "array" ? "items" : "values";
       if (!text.contains(key)) throw Error{path, "no " + std::string(key)};
       Node node;
       node.type = type == "array" ? Type::kArray : Type::kMap;
-      node.parts = {Type_(text[key], space, path + "." + key)};
+      node.children = {ParseType(text[key], enclosing_namespace, path + "." + key)};
       return Add(std::move(node));
     }
-    return Reference(type, space, path + ".type");
+    return ParseReference(type, enclosing_namespace, path + ".type");
   }
 
-  NodeId Reference(const std::string& name, const std::string& space, const std::string& path) {
-    if (auto primitive = Primitive(name)) {
-      auto [at, fresh] = primitives_.try_emplace(*primitive, 0);
-      if (fresh) {
+  NodeId ParseReference(const std::string& name, const std::string& enclosing_namespace,
+                        const std::string& path) {
+    if (auto primitive = PrimitiveType(name)) {
+      auto [at, inserted] = primitives_.try_emplace(*primitive, 0);
+      if (inserted) {
         Node node;
         node.type = *primitive;
         at->second = Add(std::move(node));
       }
       return at->second;
     }
-    std::string full = name.find('.') == std::string::npos && !space.empty() ? space + "." + name : name;
+    std::string full = name.find('.') == std::string::npos && !enclosing_namespace.empty()
+                           ? enclosing_namespace + "." + name
+                           : name;
     auto at = named_.find(full);
     if (at == named_.end()) throw Error{path, "no type " + full + " is defined before this"};
     return at->second;
   }
 
-  NodeId Union(const json& text, const std::string& space, const std::string& path) {
+  NodeId ParseUnion(const json& text, const std::string& enclosing_namespace, const std::string& path) {
     if (text.empty()) throw Error{path, "a union of nothing"};
     Node node;
     node.type = Type::kUnion;
     std::set<std::string> seen;
     for (std::size_t i = 0; i < text.size(); ++i) {
-      std::string place = path + "[" + std::to_string(i) + "]";
-      NodeId part = Type_(text[i], space, place);
-      const Node& branch = schema_.at(part);
-      if (branch.type == Type::kUnion) throw Error{place, "a union within a union"};
-      std::string name = Named(branch.type) ? branch.name : kTypeNames[static_cast<int>(branch.type)];
-      if (!seen.insert(name).second) throw Error{place, name + " stands twice in a union"};
-      node.parts.push_back(part);
+      std::string item_path = path + "[" + std::to_string(i) + "]";
+      NodeId branch_id = ParseType(text[i], enclosing_namespace, item_path);
+      const Node& branch = schema_.at(branch_id);
+      if (branch.type == Type::kUnion) throw Error{item_path, "a union within a union"};
+      std::string name = IsNamed(branch.type) ? branch.name : kTypeNames[static_cast<int>(branch.type)];
+      if (!seen.insert(name).second) throw Error{item_path, name + " stands twice in a union"};
+      node.children.push_back(branch_id);
     }
     return Add(std::move(node));
   }
 
-  // The node of a named type is known by its name before its parts are read.
-  NodeId Define(Type type, const json& text, const std::string& space, const std::string& path) {
-    Count(path);
+  // Adds the node of a named type before its children are parsed, so that they can refer to it by name.
+  NodeId DefineNamed(Type type, const json& text, const std::string& enclosing_namespace,
+                     const std::string& path) {
+    CountName(path);
     Node node;
     node.type = type;
-    node.name = Text(text, "name", path);
+    node.name = RequiredString(text, "name", path);
     if (!IsFullName(node.name)) throw Error{path + ".name", "no name: " + node.name};
-    std::string own = space;
+    std::string own_namespace = enclosing_namespace;
     if (text.contains("namespace")) {
-      own = Text(text, "namespace", path);
-      if (!own.empty() && !IsFullName(own)) throw Error{path + ".namespace", "no namespace: " + own};
+      own_namespace = RequiredString(text, "namespace", path);
+      if (!own_namespace.empty() && !IsFullName(own_namespace))
+        throw Error{path + ".namespace", "no namespace: " + own_namespace};
     }
-    if (node.name.find('.') == std::string::npos && !own.empty()) node.name = own + "." + node.name;
-    if (Primitive(Unqualified(node.name))) throw Error{path + ".name", "the name of a primitive type"};
-    own = NamespaceOf(node.name);
-    for (const std::string& alias : Names(text, "aliases", path, true))
-      node.aliases.insert(alias.find('.') == std::string::npos && !own.empty() ? own + "." + alias : alias);
+    if (node.name.find('.') == std::string::npos && !own_namespace.empty())
+      node.name = own_namespace + "." + node.name;
+    if (PrimitiveType(Unqualified(node.name))) throw Error{path + ".name", "the name of a primitive type"};
+    own_namespace = NamespaceOf(node.name);
+    for (const std::string& alias : ParseNames(text, "aliases", path, true))
+      node.aliases.insert(alias.find('.') == std::string::npos && !own_namespace.empty()
+                              ? own_namespace + "." + alias
+                              : alias);
     auto id = static_cast<NodeId>(schema_.nodes_.size());
     if (!named_.try_emplace(node.name, id).second)
       throw Error{path + ".name", node.name + " is defined twice"};
@@ -178,38 +187,39 @@
     return Add(std::move(node));
   }
 
-  NodeId Record(const json& text, const std::string& space, const std::string& path) {
-    NodeId id = Define(Type::kRecord, text, space, path);
-    std::string own = NamespaceOf(schema_.at(id).name);
+  NodeId ParseRecord(const json& text, const std::string& enclosing_namespace, const std::string& path) {
+    NodeId id = DefineNamed(Type::kRecord, text, enclosing_namespace, path);
+    std::string own_namespace = NamespaceOf(schema_.at(id).name);
     if (!text.contains("fields") || !text["fields"].is_array()) throw Error{path, "no array of fields"};
     std::vector<Field> fields;
-    std::map<std::string, std::string> taken;  // names and aliases, with their paths
+    std::map<std::string, std::string> used;  // names and aliases, with their paths
     for (std::size_t i = 0; i < text["fields"].size(); ++i) {
       const json& from = text["fields"][i];
-      std::string place = path + ".fields[" + std::to_string(i) + "]";
-      if (!from.is_object()) throw Error{place, "no object"};
-      Count(place);
+      std::string item_path = path + ".fields[" + std::to_string(i) + "]";
+      if (!from.is_object()) throw Error{item_path, "no object"};
+      CountName(item_path);
       Field field;
-      field.name = Text(from, "name", place);
-      if (!IsName(field.name)) throw Error{place + ".name", "no name: " + field.name};
-      for (const std::string& alias : Names(from, "aliases", place, false)) field.aliases.insert(alias);
+      field.name = RequiredString(from, "name", item_path);
+      if (!IsName(field.name)) throw Error{item_path + ".name", "no name: " + field.name};
+      for (const std::string& alias : ParseNames(from, "aliases", item_path, false))
+        field.aliases.insert(alias);
       field.aliases.erase(field.name);
       std::set<std::string> names = field.aliases;
       names.insert(field.name);
       for (const std::string& name : names) {
-        auto [at, fresh] = taken.try_emplace(name, place);
-        if (!fresh) throw Error{place, name + " is the name or an alias of " + at->second + " too"};
+        auto [at, inserted] = used.try_emplace(name, item_path);
+        if (!inserted) throw Error{item_path, name + " is the name or an alias of " + at->second + " too"};
       }
       if (from.contains("order")) {
-        std::string order = Text(from, "order", place);
+        std::string order = RequiredString(from, "order", item_path);
         if (order != "ascending" && order != "descending" && order != "ignore")
-          throw Error{place + ".order", "neither ascending, nor descending, nor ignore"};
+          throw Error{item_path + ".order", "neither ascending, nor descending, nor ignore"};
       }
-      if (!from.contains("type")) throw Error{place, "no type"};
-      field.type = Type_(from["type"], own, place + ".type");
+      if (!from.contains("type")) throw Error{item_path, "no type"};
+      field.type = ParseType(from["type"], own_namespace, item_path + ".type");
       if (from.contains("default")) {
-        field.fallback = from["default"];
-        defaults_.push_back({id, i, place});
+        field.default_value = from["default"];
+        defaults_.push_back({id, i, item_path});
       }
       fields.push_back(std::move(field));
     }
@@ -217,23 +227,23 @@
     return id;
   }
 
-  NodeId Enum(const json& text, const std::string& space, const std::string& path) {
-    NodeId id = Define(Type::kEnum, text, space, path);
+  NodeId ParseEnum(const json& text, const std::string& enclosing_namespace, const std::string& path) {
+    NodeId id = DefineNamed(Type::kEnum, text, enclosing_namespace, path);
     Node& node = schema_.nodes_[id];
-    node.symbols = Names(text, "symbols", path, false);
+    node.symbols = ParseNames(text, "symbols", path, false);
     if (node.symbols.empty()) throw Error{path, "no symbols"};
     std::set<std::string> seen;
     for (const std::string& symbol : node.symbols)
       if (!seen.insert(symbol).second) throw Error{path + ".symbols", symbol + " stands twice"};
     if (!text.contains("default")) return id;
-    node.fallback = Text(text, "default", path);
-    if (!seen.contains(*node.fallback))
-      throw Error{path + ".default", *node.fallback + " is no symbol of it"};
+    node.default_value = RequiredString(text, "default", path);
+    if (!seen.contains(*node.default_value))
+      throw Error{path + ".default", *node.default_value + " is no symbol of it"};
     return id;
   }
 
-  NodeId Fixed(const json& text, const std::string& space, const std::string& path) {
-    NodeId id = Define(Type::kFixed, text, space, path);
+  NodeId ParseFixed(const json& text, const std::string& enclosing_namespace, const std::string& path) {
+    NodeId id = DefineNamed(Type::kFixed, text, enclosing_namespace, path);
     if (!text.contains("size") || !text["size"].is_number_unsigned() ||
         text["size"].get<std::uint64_t>() > std::numeric_limits<std::int32_t>::max())
       throw Error{path, "no size from 0 to 2147483647"};
@@ -241,43 +251,43 @@
     return id;
   }
 
-  static std::string Text(const json& from, const char* key, const std::string& path) {
+  static std::string RequiredString(const json& from, const char* key, const std::string& path) {
     if (!from.contains(key)) throw Error{path, "no " + std::string(key)};
     if (!from[key].is_string()) throw Error{path + "." + key, "no string"};
     return from[key].get<std::string>();
   }
-  std::vector<std::string> Names(const json& from, const char* key, const std::string& path, bool full) {
+  std::vector<std::string> ParseNames(const json& from, const char* key, const std::string& path, bool full) {
     std::vector<std::string> names;
     if (!from.contains(key)) return names;
     if (!from[key].is_array()) throw Error{path + "." + key, "no array of names"};
     for (std::size_t i = 0; i < from[key].size(); ++i) {
       const json& each = from[key][i];
-      std::string place = path + "." + key + "[" + std::to_string(i) + "]";
-      Count(place);
-      if (!each.is_string()) throw Error{place, "no name"};
+      std::string item_path = path + "." + key + "[" + std::to_string(i) + "]";
+      CountName(item_path);
+      if (!each.is_string()) throw Error{item_path, "no name"};
       names.push_back(each.get<std::string>());
       if (!(full ? IsFullName(names.back()) : IsName(names.back())))
-        throw Error{place, "no name: " + names.back()};
+        throw Error{item_path, "no name: " + names.back()};
     }
     return names;
   }
 
-  // What stands for two types is taken for one by some readers, for the other by others.
+  // Rejects an alias that stands for two types: implementations differ in which of them they use.
   void CheckAliases() {
-    std::map<std::string, std::string> taken;
-    for (const auto& [name, id] : named_) taken[name] = name;
+    std::map<std::string, std::string> used;
+    for (const auto& [name, id] : named_) used[name] = name;
     for (const auto& [name, id] : named_) {
       schema_.nodes_[id].aliases.erase(name);
       for (const std::string& alias : schema_.nodes_[id].aliases) {
-        auto [at, fresh] = taken.try_emplace(alias, name);
-        if (!fresh) throw Error{paths_[id] + ".aliases", alias + " stands for " + at->second + " too"};
+        auto [at, inserted] = used.try_emplace(alias, name);
+        if (!inserted) throw Error{paths_[id] + ".aliases", alias + " stands for " + at->second + " too"};
       }
     }
   }
 
-  // A type's first place has its definition, as in what was read, so that each name is read in the namespace
-  // that it was written in.
-  std::string Print(NodeId id, const std::string& space) {
+  // Prints a type's definition at its first use, as in the source, so that each name is parsed in the
+  // namespace in which it was written.
+  std::string PrintNode(NodeId id, const std::string& enclosing_namespace) {
     const Node& node = schema_.at(id);
     auto quoted = [](const std::string& text) { return json(text).dump(); };
     auto list = [&](const auto& texts) {
@@ -287,12 +297,13 @@
     };
     switch (node.type) {
       case Type::kArray:
-        return R"({"type":"array","items":)" + Print(node.parts[0], space) + "}";
+        return R"({"type":"array","items":)" + PrintNode(node.children[0], enclosing_namespace) + "}";
       case Type::kMap:
-        return R"({"type":"map","values":)" + Print(node.parts[0], space) + "}";
+        return R"({"type":"map","values":)" + PrintNode(node.children[0], enclosing_namespace) + "}";
       case Type::kUnion: {
         std::string out;
-        for (NodeId part : node.parts) out += (out.empty() ? "" : ",") + Print(part, space);
+        for (NodeId branch_id : node.children)
+          out += (out.empty() ? "" : ",") + PrintNode(branch_id, enclosing_namespace);
         return "[" + out + "]";
       }
       case Type::kRecord:
@@ -303,22 +314,22 @@
         return quoted(kTypeNames[static_cast<int>(node.type)]);
     }
     if (!printed_.insert(id).second) return quoted(node.name);
-    std::string own = NamespaceOf(node.name);
+    std::string own_namespace = NamespaceOf(node.name);
     std::string out = "{\"name\":" + quoted(node.name);
-    if (own.empty() && !space.empty()) out += R"(,"namespace":"")";
+    if (own_namespace.empty() && !enclosing_namespace.empty()) out += R"(,"namespace":"")";
     out += ",\"type\":" + quoted(kTypeNames[static_cast<int>(node.type)]);
     if (!node.aliases.empty()) out += ",\"aliases\":" + list(node.aliases);
     if (node.type == Type::kFixed) return out + ",\"size\":" + std::to_string(node.size) + "}";
     if (node.type == Type::kEnum) {
       out += ",\"symbols\":" + list(node.symbols);
-      return out + (node.fallback ? ",\"default\":" + quoted(*node.fallback) : "") + "}";
+      return out + (node.default_value ? ",\"default\":" + quoted(*node.default_value) : "") + "}";
     }
     std::string fields;
     for (const Field& field : node.fields) {
       fields += (fields.empty() ? "" : ",") + ("{\"name\":" + quoted(field.name));
       if (!field.aliases.empty()) fields += ",\"aliases\":" + list(field.aliases);
-      fields += ",\"type\":" + Print(field.type, own);
-      if (field.fallback) fields += ",\"default\":" + field.fallback->dump();
+      fields += ",\"type\":" + PrintNode(field.type, own_namespace);
+      if (field.default_value) fields += ",\"default\":" + field.default_value->dump();
       fields += "}";
     }
     return out + ",\"fields\":[" + fields + "]}";
@@ -331,7 +342,7 @@
   };
   const Limits limits_;
   Schema schema_;
-  std::size_t names_ = 0;
+  std::size_t name_count_ = 0;
   std::map<Type, NodeId> primitives_;
   std::map<std::string, NodeId> named_;
   std::map<NodeId, std::string> paths_;
@@ -341,12 +352,12 @@
 
 std::variant<Schema, Error> Schema::Parse(std::string_view text, const Limits& limits) {
   if (text.size() > limits.bytes) return Error{"$", "more than " + std::to_string(limits.bytes) + " bytes"};
-  TwiceGuard guard(limits.depth);
-  if (!json::sax_parse(text, &guard)) return Error{"$", guard.Why()};
+  DuplicateKeyGuard guard(limits.depth);
+  if (!json::sax_parse(text, &guard)) return Error{"$", guard.Message()};
   json parsed = json::parse(text, nullptr, false);
   if (parsed.is_discarded()) return Error{"$", "no JSON"};
   try {
-    return Reader(limits).Read(parsed);
+    return SchemaParser(limits).Build(parsed);
   } catch (Error& error) {
     return std::move(error);
   }
--- a/src/compat/schema.h
+++ b/src/compat/schema.h
@@ -1,6 +1,6 @@
-// Schemas in Avro's JSON form (specification 1.11): read strictly, printed in one form. docs/design/compat.md
-// says where the specification leaves room and what is done there. Free of I/O and clocks; a schema is a
-// value, and may be read by several threads.
+// Avro schemas (specification 1.11, JSON form): parsed strictly and printed in a canonical form. docs/design/
+// compat.md says where the specification is ambiguous and what is done there. Free of I/O and clocks; a
+// schema is an immutable value that several threads may read.
 #pragma once
 
 #include <cstddef>
@@ -35,7 +35,7 @@
 };
 constexpr const char* kTypeNames[] = {"null",   "boolean", "int",  "long",  "float", "double", "bytes",
                                       "string", "record",  "enum", "fixed", "array", "map",    "union"};
-constexpr std::size_t kPrimitives = 8;  // the first of them
+constexpr std::size_t kPrimitiveTypes = 8;  // they come first in Type
 
 using NodeId = std::uint32_t;
 
@@ -43,18 +43,18 @@
   std::string name;
   std::set<std::string> aliases;
   NodeId type = 0;
-  std::optional<nlohmann::json> fallback;  // Avro's "default", in the form that the field's type gives it
+  std::optional<nlohmann::json> default_value;  // Avro's "default", normalized to the field's type
 };
 
 struct Node {
   Type type = Type::kNull;
-  std::string name;  // record, enum, fixed: with its namespace
+  std::string name;  // record, enum, fixed: the full name, with namespace
   std::set<std::string> aliases;
-  std::vector<Field> fields;            // record
-  std::vector<std::string> symbols;     // enum
-  std::optional<std::string> fallback;  // enum: for symbols that it does not know
-  std::uint64_t size = 0;               // fixed, in bytes
-  std::vector<NodeId> parts;            // array: items; map: values; union: branches
+  std::vector<Field> fields;                 // record
+  std::vector<std::string> symbols;          // enum
+  std::optional<std::string> default_value;  // enum: used for unknown symbols
+  std::uint64_t size = 0;                    // fixed, in bytes
+  std::vector<NodeId> children;              // array: items; map: values; union: branches
 };
 
 struct Limits {
@@ -75,15 +75,15 @@
   const Node& at(NodeId id) const { return nodes_[id]; }
   NodeId root() const { return root_; }
   std::size_t size() const { return nodes_.size(); }
-  // All that reading hangs on, and nothing else: full names, aliases and defaults, without docs, orders and
-  // logical types. Parse reads it again as an equal schema.
+  // The canonical text: all that affects resolution (full names, aliases and defaults), without docs, orders
+  // and logical types. Parse returns an equal schema for it.
   const std::string& text() const { return text_; }
   // XXH3 of text().
   std::uint64_t fingerprint() const { return fingerprint_; }
   bool operator==(const Schema& other) const { return text_ == other.text_; }
 
  private:
-  friend class Reader;
+  friend class SchemaParser;
   std::vector<Node> nodes_;
   NodeId root_ = 0;
   std::string text_;
@@ -92,6 +92,8 @@
 
 // A name without its namespace.
 inline std::string_view Unqualified(std::string_view name) { return name.substr(name.rfind('.') + 1); }
-inline bool Named(Type type) { return type == Type::kRecord || type == Type::kEnum || type == Type::kFixed; }
+inline bool IsNamed(Type type) {
+  return type == Type::kRecord || type == Type::kEnum || type == Type::kFixed;
+}
 
 }  // namespace peatbend::compat
--- a/tests/compat/schemas_processes_test.cpp
+++ b/tests/compat/schemas_processes_test.cpp
@@ -1,5 +1,5 @@
-// Real processes of the program that judge payloads by what their fleet has published, with faults between
-// and in them. What went through is seen at the one member behind them.
+// Real router processes that check payloads against the schemas that their fleet has accepted, with faults in
+// and between them. The one server behind them records which requests passed.
 #include <arpa/inet.h>
 #include <doctest/doctest.h>
 #include <fmt/format.h>
@@ -24,28 +24,28 @@
 using namespace std::chrono_literals;
 using Clock = std::chrono::steady_clock;
 
-constexpr std::size_t kClasses = 4;  // each with a subject of its own
-constexpr std::size_t kSeats = 3;    // the routers r0 to r2
+constexpr std::size_t kClasses = 4;   // each with a subject of its own
+constexpr std::size_t kReplicas = 3;  // the routers r0 to r2
 
 const std::string kOther =
     Record(R"({"name":"b","type":"int","default":0},{"name":"c","type":"int","default":0})");
 
 std::string Bulk(const std::string& text) { return fmt::format("${}\r\n{}\r\n", text.size(), text); }
 
-int Connected(const std::string& address) {
+int ConnectTo(const std::string& address) {
   std::size_t colon = address.rfind(':');
   sockaddr_in at{};
   at.sin_family = AF_INET;
   at.sin_port = htons(static_cast<std::uint16_t>(std::stoi(address.substr(colon + 1))));
   inet_pton(AF_INET, address.substr(0, colon).c_str(), &at.sin_addr);
   int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  timeval patience{5, 0};
-  setsockopt(socket, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+  timeval timeout{5, 0};
+  setsockopt(socket, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
   REQUIRE(connect(socket, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0);
   return socket;
 }
 
-// Answers every command with a value, and keeps what it was sent.
+// Answers every command with a value, and records what it receives.
 class Member {
  public:
   Member() : listener_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
@@ -60,21 +60,21 @@
     thread_ = std::thread([this] { Serve(); });
   }
   ~Member() {
-    ends_ = true;
+    stopping_ = true;
     thread_.join();
   }
   int port() const { return port_; }
-  // Whether a request came that says this in its facts.
+  // Whether a request with this fact arrived.
   bool Saw(const std::string& fact) const {
     std::lock_guard hold(lock_);
-    return came_.find(fact) != std::string::npos;
+    return received_.find(fact) != std::string::npos;
   }
 
  private:
   void Serve() {
     std::vector<pollfd> all{{listener_, POLLIN, 0}};
     std::string text(4096, '\0');
-    while (!ends_) {
+    while (!stopping_) {
       poll(all.data(), all.size(), 20);
       if (all[0].revents != 0) all.push_back({accept(listener_, nullptr, nullptr), POLLIN, 0});
       for (std::size_t i = 1; i < all.size(); ++i) {
@@ -85,7 +85,7 @@
           continue;
         }
         std::lock_guard hold(lock_);
-        came_.append(text, 0, static_cast<std::size_t>(got));
+        received_.append(text, 0, static_cast<std::size_t>(got));
         std::string answer = "*3\r\n" + Bulk("value") + Bulk("hit") + "$-1\r\n";
         if (text[static_cast<std::size_t>(got) - 1] == '\n')
           send(all[i].fd, answer.data(), answer.size(), MSG_NOSIGNAL);
@@ -95,13 +95,14 @@
   }
 
   int listener_, port_ = 0;
-  std::atomic<bool> ends_ = false;
+  std::atomic<bool> stopping_ = false;
   mutable std::mutex lock_;
-  std::string came_;
+  std::string received_;
   std::thread thread_;
 };
 
-// Routers r0 to r2 are the register's seats. Each has the first two schemas of each subject in its folder.
+// Routers r0 to r2 hold the registry's replicas. Each router has the first two schemas of each subject in its
+// folder.
 class Fleet {
  public:
   explicit Fleet(std::size_t size, bool on = true)
@@ -138,8 +139,9 @@
     for (std::size_t i = 0; i < size; ++i) fleet_.Start(i);
     REQUIRE_MESSAGE(fleet_.Agree(10s), fleet_.Difference());
     for (std::size_t i = 0; on && i < size * kClasses; ++i) REQUIRE(Accepted(i / kClasses, i % kClasses, 2));
-    // Two voters are enough for all this. A test that takes one from three needs the third.
-    for (std::size_t seat = 0; on && seat < kSeats; ++seat) REQUIRE(Until([&] { return Votes(seat); }));
+    // Two voting replicas are enough so far; a test that stops one of three needs the third.
+    for (std::size_t replica = 0; on && replica < kReplicas; ++replica)
+      REQUIRE(Until([&] { return Votes(replica); }));
   }
   ~Fleet() {
     CHECK(fleet_.Crashed().empty());
@@ -162,7 +164,7 @@
   // The first line of the answer: "$5", "-BUSY MS" or "-ERR ...".
   std::string Ask(std::size_t node, bool write, std::size_t cls, const std::string& facts,
                   const std::string& tenant = "north") {
-    int socket = Connected(fleet_.process(node).address());
+    int socket = ConnectTo(fleet_.process(node).address());
     std::string text = fmt::format("*{}\r\n{}{}{}{}", write ? 5 : 4, Bulk(write ? "OBJ.SET" : "OBJ.GET"),
                                    Bulk("k"), Bulk(fmt::format("id{}", ++asked_)),
                                    Bulk(fmt::format("c=c{},t={}{}", cls, tenant, facts)));
@@ -186,7 +188,9 @@
       return Dump(node).find(fmt::format("payloads.s{}.accepted={}\n", cls, version)) != std::string::npos;
     });
   }
-  bool Votes(std::size_t seat) { return Dump(seat).find("publications.votes=1\n") != std::string::npos; }
+  bool Votes(std::size_t replica) {
+    return Dump(replica).find("publications.votes=1\n") != std::string::npos;
+  }
   std::string Refused(std::size_t node, std::size_t cls) {
     std::string dump = Dump(node), key = fmt::format("payloads.s{}_refused=", cls);
     std::size_t at = dump.find(key);
@@ -229,7 +233,7 @@
   CHECK(fleet.Dump(0).find("payloads.") == std::string::npos);
 }
 
-// Each subject once, with another lead of one over the other.
+// Each subject once, with a different order and delay between the two.
 TEST_CASE("schemas crossing: of a version and a joining reader that it breaks one counts, at two routers") {
   Fleet fleet(5);
   int published = 0;
@@ -269,7 +273,7 @@
   CHECK(Fleet::Until([&] { return fleet.Takes(1, true, 0, ",pv=3"); }));
   CHECK(fleet.Takes(0, true, 0, ",pv=2"));
   for (std::size_t i : {0, 3}) CHECK(fleet.Ask(i, true, 0, ",pv=3").starts_with("-BUSY"));
-  // Who joins there is told neither way before it can be known.
+  // A reader that registers there gets no final answer without a majority.
   CHECK(fleet.Ask(3, false, 0, ",rd=ann,rv=1").starts_with("-BUSY"));
   fleet.fleet().Split({0, 3}, {1, 2, 4}, false);
   CHECK(Fleet::Until([&] { return fleet.Takes(3, true, 0, ",pv=3"); }));
@@ -284,26 +288,26 @@
 TEST_CASE("schemas kill: what was accepted, and who reads, survive each seat's death in turn") {
   Fleet fleet(5);
   CHECK(Fleet::Until([&] { return fleet.Takes(4, false, 0, ",rd=ann,rv=1"); }));
-  for (std::size_t seat : {0, 1, 2}) {
-    fleet.fleet().Kill(seat);
+  for (std::size_t replica : {0, 1, 2}) {
+    fleet.fleet().Kill(replica);
     fleet.fleet().Kill(3);
-    for (std::size_t i : {(seat + 1) % 3, (seat + 2) % 3, std::size_t{4}}) {
+    for (std::size_t i : {(replica + 1) % 3, (replica + 2) % 3, std::size_t{4}}) {
       CHECK(fleet.Takes(i, true, 0, ",pv=2"));
       CHECK(fleet.Ask(i, true, 0, ",pv=3").starts_with("-BUSY"));
     }
-    fleet.Propose(4, 0, 3, kWithout);  // breaks ann, who says nothing
+    fleet.Propose(4, 0, 3, kWithout);  // breaks ann, who is silent
     CHECK(Fleet::Until([&] { return fleet.Refused(4, 0).find("read by ann") != std::string::npos; }));
-    fleet.fleet().Start(seat);
+    fleet.fleet().Start(replica);
     fleet.fleet().Start(3);
-    for (std::size_t i : {seat, std::size_t{3}}) {
+    for (std::size_t i : {replica, std::size_t{3}}) {
       CHECK(fleet.Accepted(i, 0, 2));
       CHECK(fleet.Takes(i, true, 0, ",pv=2"));
       CHECK(fleet.Takes(i, false, 0, ",rd=ann,rv=1"));
     }
     REQUIRE(fleet.fleet().Agree(20s));
-    // It has no folder, so it votes by the words of both others; until then the next death would be a second
-    // one.
-    CHECK(Fleet::Until([&] { return fleet.Votes(seat); }));
+    // It has no folder, so it votes after syncs from both others; until then another death would leave no
+    // majority.
+    CHECK(Fleet::Until([&] { return fleet.Votes(replica); }));
   }
 }
 
--- a/tests/fuzz/schema_fuzz.cpp
+++ b/tests/fuzz/schema_fuzz.cpp
@@ -1,6 +1,6 @@
-// Whatever bytes come as schemas, two with a line's end between them: what is read is read again from its own
-// text, as equal, and can be compared. Or as a catalogue, a seat's memory or a message: what is read is
-// written as the same. Built with clang and libFuzzer (scripts/fuzz).
+// Arbitrary bytes as two schemas, separated by a newline: a parsed schema is parsed again from its own text
+// as an equal one, and two can be compared. Or as a registry state, a replica state or a message: what is
+// parsed is serialized as the same. Built with clang and libFuzzer (scripts/fuzz).
 #include <algorithm>
 #include <cstddef>
 #include <cstdint>
@@ -39,7 +39,7 @@
   return it.Serialize();
 }
 
-void Holds(bool what) {
+void Require(bool what) {
   if (!what) std::abort();
 }
 
@@ -59,26 +59,26 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   std::string_view bytes(reinterpret_cast<const char*>(data), size);
-  if (auto state = RegistryState::Parse(bytes)) Holds(state->Serialize() == bytes);
-  if (auto saved = ReplicaState::Parse(bytes)) Holds(ReplicaState::Parse(saved->Serialize()) == saved);
+  if (auto state = RegistryState::Parse(bytes)) Require(state->Serialize() == bytes);
+  if (auto saved = ReplicaState::Parse(bytes)) Require(ReplicaState::Parse(saved->Serialize()) == saved);
   if (Message message, again; Decode(bytes, 7, message) == DecodeError::kNone)
-    Holds(Decode(Encode(7, message), 7, again) == DecodeError::kNone && again.bytes == message.bytes &&
-          again.ballot == message.ballot);
+    Require(Decode(Encode(7, message), 7, again) == DecodeError::kNone && again.bytes == message.bytes &&
+            again.ballot == message.ballot);
   auto writer = Schema::Parse(bytes.substr(0, bytes.find('\n')));
   auto reader = Schema::Parse(bytes.substr(std::min(size, bytes.find('\n'))));
   for (const auto* each : {&writer, &reader}) {
     if (const Error* error = std::get_if<Error>(each)) {
-      Holds(error->path.starts_with("$") && !error->what.empty());
+      Require(error->path.starts_with("$") && !error->what.empty());
       continue;
     }
     const Schema& schema = std::get<Schema>(*each);
     auto again = Schema::Parse(schema.text(), {.bytes = ~std::size_t{0}, .depth = 64});
-    Holds(std::holds_alternative<Schema>(again) && std::get<Schema>(again) == schema);
-    // It reads what it writes, but where two branches of a union differ in their namespace alone.
+    Require(std::holds_alternative<Schema>(again) && std::get<Schema>(again) == schema);
+    // It reads what it writes, except where two branches of a union differ only in their namespace.
     for (const Difference& difference : Resolve(schema, schema))
-      Holds(difference.path.find('>') != std::string::npos);
+      Require(difference.path.find('>') != std::string::npos);
   }
   if (std::holds_alternative<Schema>(writer) && std::holds_alternative<Schema>(reader))
-    Holds(Resolve(std::get<Schema>(writer), std::get<Schema>(reader)).size() <= 128);
+    Require(Resolve(std::get<Schema>(writer), std::get<Schema>(reader)).size() <= 128);
   return 0;
 }
