--- a/src/compat/registry_state.cpp
+++ b/src/compat/registry_state.cpp
@@ -51,19 +51,20 @@
     subjects_.erase(at);
   else
     at->second = std::move(before);
-  return Reject(name, "full", "the catalogue would have more than " + std::to_string(max_bytes) + " bytes");
+  return Reject(name, "full", "the registry would have more than " + std::to_string(max_bytes) + " bytes");
 }
 
 UpdateResult RegistryState::Declare(const std::string& subject, Policy policy) {
   if (subject.empty() || subject.size() > bounds_.name)
     return Reject(subject, "subject", "a name of 1 to " + std::to_string(bounds_.name) + " bytes is needed");
   if (policy.kind == VersionKind::kLanguages && policy.mode != CompatibilityMode::kForward)
-    return Reject(subject, "subject", "of languages only this can be held: readers read what is new");
+    return Reject(subject, "subject",
+                  "a subject of languages supports only the mode in which readers read newer data");
   auto at = subjects_.find(subject);
   if (at == subjects_.end() && subjects_.size() >= bounds_.subjects)
     return Reject(subject, "full", "there are " + std::to_string(bounds_.subjects) + " subjects");
   if (at != subjects_.end() && at->second.policy.kind != policy.kind)
-    return Reject(subject, "subject", "carries something else");
+    return Reject(subject, "subject", "the kind of its versions cannot be changed");
   return Apply(subject, bounds_.bytes - bounds_.bytes / 8, [&](Subject& of) { of.policy = policy; });
 }
 
@@ -98,7 +99,7 @@
   auto at = subjects_.find(subject);
   if (at == subjects_.end()) return RejectUnknownSubject(subject);
   if (at->second.policy.kind != VersionKind::kSchemas)
-    return Reject(subject, "subject", "carries no schemas");
+    return Reject(subject, "subject", "its versions are not schemas");
   const Schema& canonical = std::get<Schema>(parsed);
   return AddVersion(subject, version, {canonical.text(), 0, canonical.fingerprint()});
 }
@@ -108,7 +109,7 @@
   auto at = subjects_.find(subject);
   if (at == subjects_.end()) return RejectUnknownSubject(subject);
   if (at->second.policy.kind != VersionKind::kLanguages)
-    return Reject(subject, "subject", "carries no languages");
+    return Reject(subject, "subject", "its versions are not languages");
   return AddVersion(subject, version, {"", language, fingerprint});
 }
 
@@ -154,7 +155,7 @@
   if (at == subjects_.end()) return RejectUnknownSubject(subject);
   const Subject& of = at->second;
   if (reader.empty() || reader.size() > bounds_.name || reads.empty() || reads.size() > kMaxReaderVersions)
-    return Reject(subject, "reader", "a name, and what it reads, are needed");
+    return Reject(subject, "reader", "the name or the versions of the reader are missing or too long");
   auto known = of.readers.find(reader);
   if (known == of.readers.end() && of.readers.size() >= bounds_.readers)
     return Reject(subject, "full", "there are " + std::to_string(bounds_.readers) + " readers");
@@ -163,7 +164,7 @@
     bool same = registration == state.registration && reads == state.versions;
     if (state.status == ReaderStatus::kRetired)
       return Reject(subject, "reader", "retired by " + state.retired_by);
-    if (!same) return Reject(subject, "statement", "has made a later statement");
+    if (!same) return Reject(subject, "statement", "has registered again since");
     if (state.status == ReaderStatus::kActive) return {};
   }
   auto last = static_cast<std::uint32_t>(of.versions.size());
@@ -204,9 +205,9 @@
   auto at = subjects_.find(subject);
   if (at == subjects_.end()) return RejectUnknownSubject(subject);
   auto known = at->second.readers.find(reader);
-  if (known == at->second.readers.end()) return Reject(subject, "reader", "has never joined");
+  if (known == at->second.readers.end()) return Reject(subject, "reader", "has never registered");
   if (registration != known->second.registration)
-    return Reject(subject, "statement", "has made another statement");
+    return Reject(subject, "statement", "has another registration");
   if (known->second.status == ReaderStatus::kActive) known->second.status = ReaderStatus::kSilent;
   return {};
 }
@@ -217,13 +218,14 @@
   auto at = subjects_.find(subject);
   if (at == subjects_.end()) return RejectUnknownSubject(subject);
   auto known = at->second.readers.find(reader);
-  if (known == at->second.readers.end()) return Reject(subject, "reader", "has never joined");
+  if (known == at->second.readers.end()) return Reject(subject, "reader", "has never registered");
   if (registration != known->second.registration)
-    return Reject(subject, "statement", "has made another statement");
+    return Reject(subject, "statement", "has another registration");
   if (known->second.status == ReaderStatus::kRetired) return {};
   if (by.empty() || reason.empty() || std::max(by.size(), reason.size()) > bounds_.name)
-    return Reject(subject, "reader",
-                  "by whom and why must be said, in 1 to " + std::to_string(bounds_.name) + " bytes");
+    return Reject(
+        subject, "reader",
+        "the operator and the reason are needed, in 1 to " + std::to_string(bounds_.name) + " bytes");
   return Apply(subject, bounds_.bytes, [&](Subject& it) {
     ReaderState& state = it.readers[reader];
     state.status = ReaderStatus::kRetired;
--- a/src/compat/resolve.cpp
+++ b/src/compat/resolve.cpp
@@ -43,7 +43,7 @@
     AddPair(writer_.root(), reader_.root(), 0, "$");
     for (std::size_t i = 0; i < pairs_.size() && differences_.size() < kMaxDifferences; ++i) {
       if (pairs_.size() > kMaxPairs) {
-        AddDifference(i, Rule::kWork, "more pairs of types than are compared");
+        AddDifference(i, Rule::kWork, "too many pairs of types to compare");
         break;
       }
       Compare(i);
@@ -95,10 +95,10 @@
     }
     if (w.type != r.type) {
       if (Promotes(w.type, r.type)) return;
-      return AddDifference(i, Rule::kType, Text(w) + " is no " + Text(r));
+      return AddDifference(i, Rule::kType, Text(w) + " is not " + Text(r));
     }
     if (IsNamed(w.type) && !SameName(w, r))
-      return AddDifference(i, Rule::kName, Text(w) + " is no " + Text(r));
+      return AddDifference(i, Rule::kName, Text(w) + " is not " + Text(r));
     switch (w.type) {
       case Type::kArray:
         return AddPair(w.children[0], r.children[0], i, "[]");
--- a/src/compat/schema.cpp
+++ b/src/compat/schema.cpp
@@ -61,8 +61,8 @@
     return false;
   }
   std::string Message() const {
-    if (!duplicate_.empty()) return "the key " + duplicate_ + " stands twice in an object";
-    return error_at_ > 0 ? "no JSON at byte " + std::to_string(error_at_) : "nested too deep";
+    if (!duplicate_.empty()) return "the key " + duplicate_ + " occurs twice in an object";
+    return error_at_ > 0 ? "invalid JSON at byte " + std::to_string(error_at_) : "nested too deep";
   }
 
  private:
@@ -142,7 +142,7 @@
   }
 
   NodeId ParseUnion(const json& text, const std::string& enclosing_namespace, const std::string& path) {
-    if (text.empty()) throw Error{path, "a union of nothing"};
+    if (text.empty()) throw Error{path, "an empty union"};
     Node node;
     node.type = Type::kUnion;
     std::set<std::string> seen;
@@ -152,7 +152,7 @@
       const Node& branch = schema_.at(branch_id);
       if (branch.type == Type::kUnion) throw Error{item_path, "a union within a union"};
       std::string name = IsNamed(branch.type) ? branch.name : kTypeNames[static_cast<int>(branch.type)];
-      if (!seen.insert(name).second) throw Error{item_path, name + " stands twice in a union"};
+      if (!seen.insert(name).second) throw Error{item_path, name + " occurs twice in a union"};
       node.children.push_back(branch_id);
     }
     return Add(std::move(node));
@@ -165,12 +165,12 @@
     Node node;
     node.type = type;
     node.name = RequiredString(text, "name", path);
-    if (!IsFullName(node.name)) throw Error{path + ".name", "no name: " + node.name};
+    if (!IsFullName(node.name)) throw Error{path + ".name", "invalid name: " + node.name};
     std::string own_namespace = enclosing_namespace;
     if (text.contains("namespace")) {
       own_namespace = RequiredString(text, "namespace", path);
       if (!own_namespace.empty() && !IsFullName(own_namespace))
-        throw Error{path + ".namespace", "no namespace: " + own_namespace};
+        throw Error{path + ".namespace", "invalid namespace: " + own_namespace};
     }
     if (node.name.find('.') == std::string::npos && !own_namespace.empty())
       node.name = own_namespace + "." + node.name;
@@ -196,11 +196,11 @@
     for (std::size_t i = 0; i < text["fields"].size(); ++i) {
       const json& from = text["fields"][i];
       std::string item_path = path + ".fields[" + std::to_string(i) + "]";
-      if (!from.is_object()) throw Error{item_path, "no object"};
+      if (!from.is_object()) throw Error{item_path, "not an object"};
       CountName(item_path);
       Field field;
       field.name = RequiredString(from, "name", item_path);
-      if (!IsName(field.name)) throw Error{item_path + ".name", "no name: " + field.name};
+      if (!IsName(field.name)) throw Error{item_path + ".name", "invalid name: " + field.name};
       for (const std::string& alias : ParseNames(from, "aliases", item_path, false))
         field.aliases.insert(alias);
       field.aliases.erase(field.name);
@@ -234,11 +234,11 @@
     if (node.symbols.empty()) throw Error{path, "no symbols"};
     std::set<std::string> seen;
     for (const std::string& symbol : node.symbols)
-      if (!seen.insert(symbol).second) throw Error{path + ".symbols", symbol + " stands twice"};
+      if (!seen.insert(symbol).second) throw Error{path + ".symbols", symbol + " occurs twice"};
     if (!text.contains("default")) return id;
     node.default_value = RequiredString(text, "default", path);
     if (!seen.contains(*node.default_value))
-      throw Error{path + ".default", *node.default_value + " is no symbol of it"};
+      throw Error{path + ".default", *node.default_value + " is not one of its symbols"};
     return id;
   }
 
@@ -253,21 +253,21 @@
 
   static std::string RequiredString(const json& from, const char* key, const std::string& path) {
     if (!from.contains(key)) throw Error{path, "no " + std::string(key)};
-    if (!from[key].is_string()) throw Error{path + "." + key, "no string"};
+    if (!from[key].is_string()) throw Error{path + "." + key, "not a string"};
     return from[key].get<std::string>();
   }
   std::vector<std::string> ParseNames(const json& from, const char* key, const std::string& path, bool full) {
     std::vector<std::string> names;
     if (!from.contains(key)) return names;
-    if (!from[key].is_array()) throw Error{path + "." + key, "no array of names"};
+    if (!from[key].is_array()) throw Error{path + "." + key, "not an array of names"};
     for (std::size_t i = 0; i < from[key].size(); ++i) {
       const json& each = from[key][i];
       std::string item_path = path + "." + key + "[" + std::to_string(i) + "]";
       CountName(item_path);
-      if (!each.is_string()) throw Error{item_path, "no name"};
+      if (!each.is_string()) throw Error{item_path, "not a name"};
       names.push_back(each.get<std::string>());
       if (!(full ? IsFullName(names.back()) : IsName(names.back())))
-        throw Error{item_path, "no name: " + names.back()};
+        throw Error{item_path, "invalid name: " + names.back()};
     }
     return names;
   }
@@ -280,7 +280,8 @@
       schema_.nodes_[id].aliases.erase(name);
       for (const std::string& alias : schema_.nodes_[id].aliases) {
         auto [at, inserted] = used.try_emplace(alias, name);
-        if (!inserted) throw Error{paths_[id] + ".aliases", alias + " stands for " + at->second + " too"};
+        if (!inserted)
+          throw Error{paths_[id] + ".aliases", alias + " is also the name or an alias of " + at->second};
       }
     }
   }
@@ -355,7 +356,7 @@
   DuplicateKeyGuard guard(limits.depth);
   if (!json::sax_parse(text, &guard)) return Error{"$", guard.Message()};
   json parsed = json::parse(text, nullptr, false);
-  if (parsed.is_discarded()) return Error{"$", "no JSON"};
+  if (parsed.is_discarded()) return Error{"$", "invalid JSON"};
   try {
     return SchemaParser(limits).Build(parsed);
   } catch (Error& error) {
--- a/tests/compat/registry_node_test.cpp
+++ b/tests/compat/registry_node_test.cpp
@@ -119,9 +119,7 @@
       1s));
 }
 
-TEST_CASE(
-    "many concurrent updates with 20% message loss: each gets a result, and all nodes learn the committed "
-    "state") {
+TEST_CASE("many concurrent updates with 20% message loss: each gets a result, and all nodes agree") {
   Simulation simulation(10);
   simulation.loss = 20;
   std::vector<std::shared_ptr<std::optional<UpdateResult>>> answers;
@@ -197,9 +195,7 @@
   }
 }
 
-TEST_CASE(
-    "a value accepted by two replicas survives the restart of one with its saved state and the loss of the "
-    "other") {
+TEST_CASE("a value accepted by two replicas survives the restart of one and the loss of the other") {
   Simulation simulation(4);
   for (std::size_t i : {0, 1, 3}) simulation.Cut(2, i, true);
   auto first = simulation.Submit(3, Publish(1, R"("int")"));
--- a/tests/compat/registry_state_test.cpp
+++ b/tests/compat/registry_state_test.cpp
@@ -44,7 +44,7 @@
   CHECK(it.MarkSilent("s", "ann", 1).ok());
   CHECK(it.subjects().at("s").readers.at("ann").status == ReaderStatus::kSilent);
   CHECK_FALSE(it.Propose("s", 3, kWithout).ok());
-  CHECK(Text(it.Retire("s", "ann", 1, "", "gone")).starts_with("s: reader: by whom"));
+  CHECK(Text(it.Retire("s", "ann", 1, "", "gone")).starts_with("s: reader: the operator"));
   CHECK(it.Retire("s", "ann", 1, "eve", "switched off").ok());
   CHECK(it.Propose("s", 3, kWithout).ok());
   // A repeated registration is void, and a new one is checked as any other's.
@@ -52,7 +52,7 @@
   CHECK(Text(it.RegisterReader("s", "ann", 2, {1})).starts_with("s $.a: default: "));
   CHECK(it.RegisterReader("s", "ann", 3, {2}).ok());
   // A repeated retirement of the former registration is void too.
-  CHECK(Text(it.Retire("s", "ann", 1, "eve", "switched off")) == "s: statement: has made another statement");
+  CHECK(Text(it.Retire("s", "ann", 1, "eve", "switched off")) == "s: statement: has another registration");
   CHECK(it.subjects().at("s").readers.at("ann").status == ReaderStatus::kActive);
 }
 
@@ -113,7 +113,7 @@
   CHECK(registered > 10);
   CHECK(registered < 100);
   CHECK(Text(it.RegisterReader("s", "more", 1, {1})) ==
-        "s: full: the catalogue would have more than 700 bytes");
+        "s: full: the registry would have more than 700 bytes");
   CHECK(it.Serialize().size() <= 700);
   CHECK(it.Retire("s", "reader 0", 1, "eve", "gone").ok());
 }
--- a/tests/compat/schema_check_test.cpp
+++ b/tests/compat/schema_check_test.cpp
@@ -102,8 +102,7 @@
 }
 
 TEST_CASE(
-    "a version that breaks a reader and a reader that would break are rejected, and not evaluated again at "
-    "once") {
+    "a version that breaks a reader is rejected, as is such a reader, and not evaluated again at once") {
   RegistryState it = PublishedState();
   CHECK(it.Propose("audience", 3, kWithout).ok());
   SchemaCheck check({Audience()}, 2, 3);
@@ -144,7 +143,7 @@
   of.retirements = {{"ann", 1, "closed"}};
   of.schemas.push_back(kWithout);
   RegistryState it = PublishedState();
-  CHECK(MakeProposal(of)(it).incompatibilities.at(0).what == "has never joined");
+  CHECK(MakeProposal(of)(it).incompatibilities.at(0).what == "has never registered");
   CHECK(MakeRegistration("audience", {"ann", 1, {}})(it).ok());
   CHECK(MakeProposal(of)(it).ok());
   CHECK(it.subjects().at("audience").versions.size() == 3);
--- a/tests/compat/schema_test.cpp
+++ b/tests/compat/schema_test.cpp
@@ -30,20 +30,21 @@
 TEST_CASE("the error of an invalid schema names its path") {
   for (const auto& [text, error] : std::vector<std::pair<std::string, std::string>>{
            {R"("int")", "read"},
-           {"{", "$: no JSON at byte"},
-           {R"({"type":"int","type":"long"})", "$: the key type stands twice"},
+           {"{", "$: invalid JSON at byte"},
+           {R"({"type":"int","type":"long"})", "$: the key type occurs twice"},
            {"7", "$: neither a name"},
            {R"("R")", "$: no type R is defined"},
            {R"({"type":"array"})", "$: no items"},
-           {R"({"type":"map","values":[]})", "$.values: a union of nothing"},
+           {R"({"type":"map","values":[]})", "$.values: an empty union"},
            {R"(["int",["null"]])", "$[1]: a union within"},
-           {R"(["int","int"])", "$[1]: int stands twice"},
-           {R"({"type":"enum","name":"E","symbols":["A","A"]})", "$.symbols: A stands twice"},
-           {R"({"type":"enum","name":"E","symbols":["A-"]})", "$.symbols[0]: no name"},
-           {R"({"type":"enum","name":"E","symbols":["A"],"default":"B"})", "$.default: B is no symbol"},
+           {R"(["int","int"])", "$[1]: int occurs twice"},
+           {R"({"type":"enum","name":"E","symbols":["A","A"]})", "$.symbols: A occurs twice"},
+           {R"({"type":"enum","name":"E","symbols":["A-"]})", "$.symbols[0]: invalid name"},
+           {R"({"type":"enum","name":"E","symbols":["A"],"default":"B"})",
+            "$.default: B is not one of its symbols"},
            {R"({"type":"fixed","name":"F","size":-1})", "$: no size"},
            {R"({"type":"fixed","name":"a.int","size":1})", "$.name: the name of a primitive"},
-           {R"({"type":"fixed","name":"F","namespace":"a..b","size":1})", "$.namespace: no namespace"},
+           {R"({"type":"fixed","name":"F","namespace":"a..b","size":1})", "$.namespace: invalid namespace"},
            {Record(R"({"name":"a","type":"int"},{"name":"a","type":"int"})"), "$.fields[1]: a is the name"},
            {Record(R"({"name":"a","type":"int"},{"name":"b","aliases":["a"],"type":"int"})"),
             "$.fields[1]: a is the name or an alias of $.fields[0]"},
@@ -58,7 +59,7 @@
             "$.fields[0].default: a default that contains"},
            {Record(R"({"name":"a","type":["null","R"],"default":null})"), "read"},
            {R"([{"type":"fixed","name":"F","size":1},{"type":"fixed","name":"G","aliases":["F"],"size":1}])",
-            "$[1].aliases: F stands for F too"},
+            "$[1].aliases: F is also the name or an alias of F"},
        }) {
     CAPTURE(text);
     CHECK(ErrorOf(text).substr(0, error.size()) == error);
