--- a/src/compat/registry_state.cpp
+++ b/src/compat/registry_state.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::uint64_t kFormat = 1;
+constexpr std::uint64_t kStateFormat = 1;
 constexpr std::uint32_t kMaxVersions = 4096;
 constexpr std::size_t kMaxReaderVersions = 256;
 
@@ -252,7 +252,7 @@
                                std::move(readers)}));
   }
   std::string bytes;
-  json::to_msgpack(json::array({kFormat, std::move(all)}), bytes);
+  json::to_msgpack(json::array({kStateFormat, std::move(all)}), bytes);
   return bytes;
 }
 
@@ -304,8 +304,8 @@
   if (array.is_discarded()) return std::nullopt;
   FieldReader fields(array);
   std::uint64_t format = 0;
-  const json* all = fields.Number(format, kFormat).Next();
-  if (format != kFormat || all == nullptr || !all->is_array() || all->size() > bounds.subjects)
+  const json* all = fields.Number(format, kStateFormat).Next();
+  if (format != kStateFormat || all == nullptr || !all->is_array() || all->size() > bounds.subjects)
     return std::nullopt;
   for (const json& each : *all) {
     std::string name;
--- a/src/compat/schema.cpp
+++ b/src/compat/schema.cpp
@@ -272,7 +272,7 @@
     return names;
   }
 
-  // Rejects an alias that stands for two types: implementations differ in which of them they use.
+  // Rejects an alias that names two types: implementations differ in which of them they use.
   void CheckAliases() {
     std::map<std::string, std::string> used;
     for (const auto& [name, id] : named_) used[name] = name;
--- a/src/compat/schema.h
+++ b/src/compat/schema.h
@@ -1,6 +1,6 @@
-// Avro schemas (specification 1.11, JSON form): parsed strictly and printed in a canonical form. docs/design/
-// compat.md says where the specification is ambiguous and what is done there. Free of I/O and clocks; a
-// schema is an immutable value that several threads may read.
+// Avro schemas (specification 1.11, JSON form): parsed strictly and printed in a canonical form.
+// docs/design/compat.md says where the specification is ambiguous and what is done there. Free of I/O and
+// clocks; a schema is an immutable value that several threads may read.
 #pragma once
 
 #include <cstddef>
--- a/src/compat/wire.cpp
+++ b/src/compat/wire.cpp
@@ -13,8 +13,8 @@
 using nlohmann::json;
 
 constexpr int kMaxNesting = 4;
-constexpr std::uint64_t kFormat = 1;
-constexpr std::size_t kMaxNameBytes = 64, kMaxNames = 64, kMaxValueBytes = 256u << 10;
+constexpr std::uint64_t kReplicaStateFormat = 1;
+constexpr std::size_t kMaxRouterNameBytes = 64, kMaxNames = 64, kMaxValueBytes = 256u << 10;
 
 json ToJson(const Ballot& ballot) {
   return json::array(
@@ -24,7 +24,7 @@
   if (from == nullptr) return false;
   FieldReader fields(*from);
   return fields.Number(ballot.round, kUnbounded)
-      .Text(ballot.proposer.name, kMaxNameBytes)
+      .Text(ballot.proposer.name, kMaxRouterNameBytes)
       .Number(ballot.proposer.generation, kUnbounded)
       .Number(ballot.proposer.proposal, kUnbounded)
       .ok();
@@ -40,7 +40,7 @@
   for (const json& one : *from) {
     std::string name;
     std::uint64_t number = 0;
-    if (!FieldReader(one).Text(name, kMaxNameBytes).Number(number, kUnbounded).ok()) return false;
+    if (!FieldReader(one).Text(name, kMaxRouterNameBytes).Number(number, kUnbounded).ok()) return false;
     numbers[name] = number;
   }
   return true;
@@ -77,9 +77,10 @@
 
 std::string ReplicaState::Serialize() const {
   std::string bytes;
-  json::to_msgpack(json::array({kFormat, votes, generation, bootstrap_id, ToJson(promised), ToJson(accepted),
-                                version, net::Blob(value), ToJson(sync_generations), ToJson(bootstrap_ids)}),
-                   bytes);
+  json::to_msgpack(
+      json::array({kReplicaStateFormat, votes, generation, bootstrap_id, ToJson(promised), ToJson(accepted),
+                   version, net::Blob(value), ToJson(sync_generations), ToJson(bootstrap_ids)}),
+      bytes);
   return bytes;
 }
 
@@ -89,11 +90,11 @@
   ReplicaState read;
   std::uint64_t format = 0;
   FieldReader fields(array);
-  fields.Number(format, kFormat)
+  fields.Number(format, kReplicaStateFormat)
       .Flag(read.votes)
       .Number(read.generation, kUnbounded)
       .Number(read.bootstrap_id, kUnbounded);
-  if (!fields.ok() || format != kFormat || !compat::Read(fields.Next(), read.promised) ||
+  if (!fields.ok() || format != kReplicaStateFormat || !compat::Read(fields.Next(), read.promised) ||
       !compat::Read(fields.Next(), read.accepted))
     return std::nullopt;
   fields.Number(read.version, 0xffffffffu).Blob(read.value, kMaxValueBytes);
--- a/tests/compat/processes_test.cpp
+++ b/tests/compat/processes_test.cpp
@@ -75,7 +75,7 @@
   }
 };
 
-TEST_CASE("publications book: one router proposes, all switch; half are told while requests flow") {
+TEST_CASE("publications book: one router proposes, all switch; a router cut off switches later") {
   Fleet fleet(5, false);
   fleet.clients().SetIntervals(10ms);
   REQUIRE(fleet.WaitForAdmissions(50, 10s));
@@ -100,7 +100,7 @@
   fleet.CheckBound(kLeast, 5, switched);
 }
 
-TEST_CASE("publications parts: two books in two halves, of which one is accepted and the other refused") {
+TEST_CASE("publications parts: two configurations in a partition, one accepted and the other rejected") {
   Fleet fleet(5, false);
   fleet.clients().SetIntervals(20ms);
   fleet.fleet().Split({0, 3}, {1, 2, 4}, true);
@@ -124,7 +124,8 @@
 }
 
 TEST_CASE(
-    "publications language: a book that one cannot read, or none; silence is not retirement, a word is") {
+    "publications language: versions that some or all cannot read; retirement by an operator, not by "
+    "silence") {
   Fleet fleet(6, false, {3, 5});
   fleet.clients().SetIntervals(20ms);
   fleet.Propose(4, ConfigOfLanguage2(kLess));
@@ -163,7 +164,7 @@
   fleet.CheckBound(kLess, 6, switched);
 }
 
-TEST_CASE("publications seat: with folders all seats may be killed; a damaged one is refused") {
+TEST_CASE("publications seat: with folders all replicas may be killed; a damaged file is rejected") {
   Fleet fleet(5, true);
   for (std::size_t replica : {0, 1, 2}) fleet.fleet().Kill(replica);
   for (std::size_t replica : {0, 1, 2}) fleet.fleet().Start(replica);
@@ -191,7 +192,7 @@
   CHECK(fleet.Until([&] { return fleet.MetricOf(0, "votes") == 1; }, 10s));
 }
 
-TEST_CASE("publications seat: without folders one may be killed; two that have forgotten accept nothing") {
+TEST_CASE("publications seat: without folders one may be killed; two that lost their state commit nothing") {
   Fleet fleet(5, false);
   fleet.fleet().Kill(0);
   fleet.fleet().Start(0);
--- a/tests/compat/schemas_processes_test.cpp
+++ b/tests/compat/schemas_processes_test.cpp
@@ -212,7 +212,7 @@
   int asked_ = 0;
 };
 
-TEST_CASE("schemas writes: an accepted version alone reaches a server, at each router") {
+TEST_CASE("schemas writes: only an accepted version reaches a server, at each router") {
   Fleet fleet(3);
   for (std::size_t i : {0, 1, 2}) {
     CHECK(fleet.Takes(i, true, 1, ",pv=2"));
@@ -227,14 +227,15 @@
   CHECK_FALSE(fleet.member().Saw("t=north,pv=7"));
 }
 
-TEST_CASE("schemas off: without subjects every version goes on") {
+TEST_CASE("schemas off: without subjects every version passes") {
   Fleet fleet(1, false);
   CHECK(fleet.Takes(0, true, 1, ",pv=7"));
   CHECK(fleet.Dump(0).find("payloads.") == std::string::npos);
 }
 
 // Each subject once, with a different order and delay between the two.
-TEST_CASE("schemas crossing: of a version and a joining reader that it breaks one counts, at two routers") {
+TEST_CASE(
+    "schemas crossing: a version and a registering reader that it breaks, at two routers; one is accepted") {
   Fleet fleet(5);
   int published = 0;
   for (std::size_t c = 0; c < kClasses; ++c) {
@@ -265,7 +266,7 @@
   MESSAGE(published, " of 4 versions were first");
 }
 
-TEST_CASE("schemas parts: two publishers in two halves, of which one is accepted for all") {
+TEST_CASE("schemas parts: two publishers in a partition; one is accepted for all") {
   Fleet fleet(5);
   fleet.fleet().Split({0, 3}, {1, 2, 4}, true);
   fleet.Propose(3, 0, 3, kWithout);
@@ -285,7 +286,7 @@
   CHECK_FALSE(fleet.member().Saw("rd=ann"));
 }
 
-TEST_CASE("schemas kill: what was accepted, and who reads, survive each seat's death in turn") {
+TEST_CASE("schemas kill: accepted versions and readers survive the death of each replica in turn") {
   Fleet fleet(5);
   CHECK(Fleet::Until([&] { return fleet.Takes(4, false, 0, ",rd=ann,rv=1"); }));
   for (std::size_t replica : {0, 1, 2}) {
