--- a/src/rations/credit_ledger.cpp
+++ b/src/rations/credit_ledger.cpp
@@ -186,15 +186,15 @@
   if (!owner_unreachable(now, leaf.shard)) return false;
   Time since = shards_[leaf.shard].first_sent + options_.unreachable_after;
   for (Account* one = &leaf; one != nullptr; one = one->parent) {
-    const Quota& ration = table_.quotas[one->bucket.quota];
-    if (ration.hard || ration.when_unreachable == WhenUnreachable::kReject) return false;
-    if (ration.when_unreachable == WhenUnreachable::kAdmit) continue;
+    const Quota& quota = table_.quotas[one->bucket.quota];
+    if (quota.hard || quota.when_unreachable == WhenUnreachable::kReject) return false;
+    if (quota.when_unreachable == WhenUnreachable::kAdmit) continue;
     if (one->own_share_at < since) {
       one->own_share = 0;
       one->own_share_at = since;
     }
     double routers = std::max(options_.routers, 1);
-    double burst = std::max(1.0, ration.rate.burst / routers), rate = ration.rate.per_second / routers;
+    double burst = std::max(1.0, quota.rate.burst / routers), rate = quota.rate.per_second / routers;
     one->own_share = std::min(burst, one->own_share + rate * Seconds(now - one->own_share_at));
     one->own_share_at = now;
     if (one->own_share >= 1) continue;
--- a/src/rations/shard_buckets.cpp
+++ b/src/rations/shard_buckets.cpp
@@ -26,10 +26,10 @@
   for (std::size_t i = 0; i < table.quotas.size(); ++i) paces_.push_back(table.RateAt(i, unix_s, signs_));
 }
 
-void ShardBuckets::Refill(std::uint32_t ration, BucketState& bucket) const {
-  const TokenRate& pace = paces_[ration];
-  bucket.tokens = std::min(std::max(pace.burst, 1.0),
-                           bucket.tokens + pace.per_second * Seconds(now_ - bucket.updated_at));
+void ShardBuckets::Refill(std::uint32_t quota, BucketState& bucket) const {
+  const TokenRate& rate = paces_[quota];
+  bucket.tokens = std::min(std::max(rate.burst, 1.0),
+                           bucket.tokens + rate.per_second * Seconds(now_ - bucket.updated_at));
   bucket.updated_at = now_;
 }
 
@@ -50,10 +50,10 @@
 bool ShardBuckets::IsValid(const BucketPath& chain) const {
   if (chain.size == 0 || chain.size > kMaxQuotaDepth) return false;
   for (std::size_t i = 0; i < chain.size; ++i) {
-    std::uint32_t ration = chain.buckets[i].quota;
-    if (ration >= table_.quotas.size()) return false;
+    std::uint32_t quota = chain.buckets[i].quota;
+    if (quota >= table_.quotas.size()) return false;
     int above = i + 1 < chain.size ? static_cast<int>(chain.buckets[i + 1].quota) : -1;
-    if (i + 1 < kMaxQuotaDepth && table_.quotas[ration].parent != above) return false;
+    if (i + 1 < kMaxQuotaDepth && table_.quotas[quota].parent != above) return false;
   }
   return true;
 }
--- a/src/router/ration_office.cpp
+++ b/src/router/ration_office.cpp
@@ -167,12 +167,12 @@
 }
 
 unsigned RationOffice::Signs() const {
-  unsigned signs = rations::kNoCondition;
-  if (decision_.balancer().origin_overloaded()) signs |= rations::kOriginOverloaded;
+  unsigned conditions = rations::kNoCondition;
+  if (decision_.balancer().origin_overloaded()) conditions |= rations::kOriginOverloaded;
   if (std::ranges::any_of(
           zones_, [this](const std::string& zone) { return peers_ != nullptr && peers_->IsZoneGone(zone); }))
-    signs |= rations::kZoneLost;
-  return signs;
+    conditions |= rations::kZoneLost;
+  return conditions;
 }
 
 void RationOffice::Flush() {
--- a/src/stage/balancer_driver.cpp
+++ b/src/stage/balancer_driver.cpp
@@ -105,8 +105,8 @@
 void BalancerDriver::PermitSend(RequestId id) { Enqueue(SendPermitted{id}); }
 
 void BalancerDriver::CompleteRequest(RequestId id, OperationOutcome outcome, std::string value,
-                                     Duration come_back) {
-  Enqueue(RequestCompleted{id, outcome, std::move(value), come_back});
+                                     Duration retry_after) {
+  Enqueue(RequestCompleted{id, outcome, std::move(value), retry_after});
 }
 
 void BalancerDriver::OnAttemptEnded(ServerAttempt& attempt, FlowReply reply) {
@@ -251,7 +251,7 @@
   DropHeldAttempt(*transaction);
   if (completed.outcome != OperationOutcome::kValue)
     return SendFinalAnswer(*transaction, completed.outcome,
-                           std::max(completed.come_back, transaction->come_back));
+                           std::max(completed.retry_after, transaction->retry_after));
   BufferPtr value(evbuffer_new());
   Append(value.get(), completed.value);
   transaction->Serve(value.get());
--- a/src/stage/balancer_driver.h
+++ b/src/stage/balancer_driver.h
@@ -63,7 +63,7 @@
   bool needs_client_hash() const { return quota_check_ != nullptr; }
   // The replies of the operation tracker: send the held attempt, or end the request with this outcome.
   void PermitSend(RequestId id);
-  void CompleteRequest(RequestId id, OperationOutcome outcome, std::string value, Duration come_back);
+  void CompleteRequest(RequestId id, OperationOutcome outcome, std::string value, Duration retry_after);
   // The client has accepted the pending part of a streamed value.
   void ResumeStream(RequestId id);
 
@@ -107,7 +107,7 @@
     RequestId id;
     OperationOutcome outcome;
     std::string value;
-    Duration come_back;
+    Duration retry_after;
   };
   using QueuedEvent = std::variant<ServerListUpdate, RequestAdmitted, ClientGone, StreamStarted, AttemptEnded,
                                    TimerDue, SendPermitted, RequestCompleted, TrialEvent>;
@@ -141,8 +141,8 @@
   void DropHeldAttempt(Transaction& transaction);
   // Ends the transaction with a rejection or failure of the balancer's, at once or after it has been
   // recorded.
-  void Finish(Transaction& transaction, OperationOutcome outcome, Duration come_back);
-  void SendFinalAnswer(Transaction& transaction, OperationOutcome outcome, Duration come_back);
+  void Finish(Transaction& transaction, OperationOutcome outcome, Duration retry_after);
+  void SendFinalAnswer(Transaction& transaction, OperationOutcome outcome, Duration retry_after);
   Transaction* Find(RequestId id);
   ServerAttempt* StreamingAttempt(Transaction& transaction);
   // Reports the end of the transaction to overload control.
--- a/src/stage/balancer_driver_actions.cpp
+++ b/src/stage/balancer_driver_actions.cpp
@@ -52,17 +52,19 @@
   if (transaction != nullptr) Finish(*transaction, OperationOutcome::kFailed, {});
 }
 
-void BalancerDriver::Finish(Transaction& transaction, OperationOutcome outcome, Duration come_back) {
-  if (!transaction.tracked || transaction.finished()) return SendFinalAnswer(transaction, outcome, come_back);
+void BalancerDriver::Finish(Transaction& transaction, OperationOutcome outcome, Duration retry_after) {
+  if (!transaction.tracked || transaction.finished())
+    return SendFinalAnswer(transaction, outcome, retry_after);
   transaction.ending = true;
   transaction.CancelUnstarted();
-  transaction.come_back = come_back;
+  transaction.retry_after = retry_after;
   operation_tracker_->RecordOutcome(transaction.id(), outcome, {});
 }
 
-void BalancerDriver::SendFinalAnswer(Transaction& transaction, OperationOutcome outcome, Duration come_back) {
+void BalancerDriver::SendFinalAnswer(Transaction& transaction, OperationOutcome outcome,
+                                     Duration retry_after) {
   if (outcome == OperationOutcome::kRejected) {
-    transaction.Reject(std::min(come_back, settings_.max_retry_after));
+    transaction.Reject(std::min(retry_after, settings_.max_retry_after));
   } else {
     transaction.Fail();
   }
--- a/src/stage/transaction.cpp
+++ b/src/stage/transaction.cpp
@@ -17,11 +17,11 @@
   }
 }
 
-void Transaction::Reject(Duration come_back) {
+void Transaction::Reject(Duration retry_after) {
   if (AnswerSink* client = TakeClient()) {
     ++class_counters().rejected;
     outcome_ = Outcome::kRejected;
-    client->Reject(position_, come_back);
+    client->Reject(position_, retry_after);
   }
 }
 
--- a/src/stage/transaction.h
+++ b/src/stage/transaction.h
@@ -24,7 +24,7 @@
 
   // The first call of these ends the transaction; later calls have no effect.
   void Serve(evbuffer* value);
-  void Reject(Duration come_back);
+  void Reject(Duration retry_after);
   void Fail();
   void ClientLeft();
   // Starts streaming the value of an attempt. From then on only EndStream or ClientLeft ends the transaction.
@@ -66,7 +66,7 @@
   bool tracked = false;
   bool ending = false;    // the balancer has ended the request, and the outcome is being recorded
   int held_attempt = -1;  // waits for a send permit; -1: none
-  Duration held_limit{}, come_back{};
+  Duration held_limit{}, retry_after{};
   TimePoint held_begin_by = TimePoint::max();
 
  private:
